--- a/apps/poppywayd/broker_side.cc
+++ b/apps/poppywayd/broker_side.cc
@@ -99,7 +99,7 @@
   }
   Hosted& hosted = found->second;
   hosted.m_lines[demand.incarnation] = {from.weak_from_this(), demand.sequence};
-  Send(demand.pool, hosted, TakeDemand(hosted.m_broker, FromWire(demand, now), now));
+  Send(demand.pool, hosted, HandleDemand(hosted.m_broker, FromWire(demand, now), now));
 }
 
 void BrokerSide::Send(const std::string& pool,
--- a/apps/poppywayd/control_task.h
+++ b/apps/poppywayd/control_task.h
@@ -25,7 +25,7 @@
   /// Hosted: where news for the forwarder goes. Call before `Start`.
   void SetForwarder(ForwarderPort port);
   /// Hosted: to the broker of places.
-  [[nodiscard]] BrokerPort PlacePort() { return m_instance.PlacePort(); }
+  [[nodiscard]] BrokerPort MakeSlotBrokerPort() { return m_instance.MakeSlotBrokerPort(); }
   /// Hosted: other ways to reach the members.
   void AddSeeds(const std::vector<MemberSettings>& seeds);
   /// Null on an instance without a disk.
--- a/apps/poppywayd/convert.cc
+++ b/apps/poppywayd/convert.cc
@@ -33,7 +33,7 @@
   item.workspace = request.m_workspace;
   item.event = request.m_event;
   item.model = request.m_model;
-  item.avoid = request.m_avoid;
+  item.avoid = request.m_tried;
   return item;
 }
 
@@ -48,7 +48,7 @@
   request.m_workspace = item.workspace;
   request.m_event = item.event;
   request.m_model = item.model;
-  request.m_avoid = item.avoid;
+  request.m_tried = item.avoid;
   return request;
 }
 
@@ -117,7 +117,7 @@
   grants.epoch = epoch;
   for (const Credit& credit : batch.m_credits)
     grants.credits.push_back(ToWire(credit));
-  grants.unreachable = batch.m_unreachable;
+  grants.unreachable = batch.m_infeasible;
   grants.floor = batch.m_floor;
   grants.floor_epoch = batch.m_floor_epoch;
   grants.contended = batch.m_contended;
@@ -133,7 +133,7 @@
   GrantBatch batch;
   for (const wire::HeldCredit& credit : grants.credits)
     batch.m_credits.push_back(FromWire(credit));
-  batch.m_unreachable = grants.unreachable;
+  batch.m_infeasible = grants.unreachable;
   batch.m_floor = grants.floor;
   batch.m_floor_epoch = grants.floor_epoch;
   batch.m_contended = grants.contended;
--- a/apps/poppywayd/hosted.cc
+++ b/apps/poppywayd/hosted.cc
@@ -88,7 +88,7 @@
   settings.m_instance = hosted.m_instance;
   settings.m_data_centre = hosted.m_data_centre;
   settings.m_regions = hosted.m_regions;
-  settings.m_cold_tolerance = hosted.m_cold_tolerance;
+  settings.m_slow_start_tolerance = hosted.m_slow_start_tolerance;
   settings.m_callers = hosted.m_callers;
   settings.m_readiness = hosted.m_readiness;
   settings.m_metrics = MetricsPlace(hosted);
@@ -102,16 +102,16 @@
 }
 
 /// Reads the limits of cold servers out of the operator's document.
-MemberSide::ColdReader ColdReaderOf(const ColdTolerance& tolerance) {
+MemberSide::ColdLimitReader ColdReaderOf(const SlowStartTolerance& tolerance) {
   return [tolerance, decode = platform::MakeDialect().m_decode_document](
-             const wire::Document& document) -> Result<std::map<std::string, ColdLimit>> {
+             const wire::Document& document) -> Result<std::map<std::string, SlowStartLimit>> {
     const Result<RouteTable> table = decode(document.version, document.body);
     if (!table)
       return tl::unexpected<Error>(table.error());
-    std::map<std::string, ColdLimit> limits;
+    std::map<std::string, SlowStartLimit> limits;
     for (const Pool& pool : table->m_pools) {
-      if (pool.m_cold.m_per_s > 0)
-        limits[pool.m_name] = WithMost(pool.m_cold, tolerance);
+      if (pool.m_slow_start_limit.m_per_s > 0)
+        limits[pool.m_name] = WithTolerance(pool.m_slow_start_limit, tolerance);
     }
     return limits;
   };
@@ -131,11 +131,11 @@
     if (m_forwarder) {
       m_control.SetForwarder(
           {[this](FleetMessage message) { m_forwarder->Take(std::move(message)); }});
-      m_forwarder->SetBroker(m_control.PlacePort());
+      m_forwarder->SetBroker(m_control.MakeSlotBrokerPort());
       m_forwarder->SetMoreMetrics([this](MetricSet& metrics) { m_control.AddMetrics(metrics); });
     }
     if (m_control.member() != nullptr)
-      m_control.member()->SetColdReader(ColdReaderOf(hosted.m_cold_tolerance));
+      m_control.member()->SetColdLimitReader(ColdReaderOf(hosted.m_slow_start_tolerance));
     if (hosted.m_control.m_port != 0 && m_control.member() != nullptr)
       m_server = std::make_unique<ControlServer>(m_loop, hosted.m_control, *m_control.member());
     if (!m_forwarder) {
--- a/apps/poppywayd/instance_hosted.cc
+++ b/apps/poppywayd/instance_hosted.cc
@@ -4,7 +4,7 @@
 // register themselves, the broker of places.
 
 #include "instance_side.h"
-#include "place_convert.h"
+#include "slot_convert.h"
 
 namespace poppyway {
 void InstanceSide::OnHostedBeat(const wire::HeartbeatReply& reply, Instant sent) {
@@ -112,9 +112,9 @@
   m_beat_due = std::min(m_beat_due, ReadClock());
 }
 
-BrokerPort InstanceSide::PlacePort() {
+BrokerPort InstanceSide::MakeSlotBrokerPort() {
   BrokerPort port;
-  port.m_send = [this](PlaceBatch batch) {
+  port.m_send = [this](SlotBatch batch) {
     wire::Body body;
     body.__set_place_batch(ToWire(batch, m_incarnation, m_settings.m_data_centre));
     Leader().Tell(std::move(body));
--- a/apps/poppywayd/instance_side.cc
+++ b/apps/poppywayd/instance_side.cc
@@ -217,7 +217,7 @@
 }
 
 void InstanceSide::AvoidSource(std::size_t member, Instant now) {
-  m_sources[member].m_avoid_until = now + kAvoidSource;
+  m_sources[member].m_ejected_until = now + kAvoidSource;
 }
 
 void InstanceSide::OnDelta(const wire::ConfigDelta& delta) {
--- a/apps/poppywayd/instance_side.h
+++ b/apps/poppywayd/instance_side.h
@@ -32,7 +32,7 @@
   /// Hosted: news goes to the forwarder instead of the gateway.
   void SetForwarder(ForwarderPort port) { m_forwarder = std::move(port); }
   /// Hosted: how the forwarder reaches the broker of places.
-  [[nodiscard]] BrokerPort PlacePort();
+  [[nodiscard]] BrokerPort MakeSlotBrokerPort();
   void AddSeeds(const std::vector<MemberSettings>& seeds);
   void Tick(Instant now);
   void Take(GatewayMessage message);
--- a/apps/poppywayd/member_evacuation.cc
+++ b/apps/poppywayd/member_evacuation.cc
@@ -69,7 +69,7 @@
     status.evacuation = evacuation;
     status.servers = static_cast<std::int32_t>(
         std::count_if(hosted.m_servers.begin(), hosted.m_servers.end(), there));
-    status.running = m_places.RunningIn(data_centre).value_or(-1);
+    status.running = m_places.CountRunningIn(data_centre).value_or(-1);
   }
   return statuses;
 }
--- a/apps/poppywayd/member_hosted.cc
+++ b/apps/poppywayd/member_hosted.cc
@@ -148,23 +148,23 @@
   return false;
 }
 
-void MemberSide::SetColdReader(ColdReader reader) {
-  m_cold_reader = std::move(reader);
+void MemberSide::SetColdLimitReader(ColdLimitReader reader) {
+  m_cold_limit_reader = std::move(reader);
   ReadColdLimits();
 }
 
 void MemberSide::ReadColdLimits() {
   const wire::Document& document = m_machine.m_hosted.m_document;
-  if (!m_cold_reader || document.version == 0)
+  if (!m_cold_limit_reader || document.version == 0)
     return;
-  Result<std::map<std::string, ColdLimit>> limits = m_cold_reader(document);
+  Result<std::map<std::string, SlowStartLimit>> limits = m_cold_limit_reader(document);
   if (!limits) {
     POPPYWAY_LOG(error, "cold_limits_unread")
         .Field("version", document.version)
         .Field("why", limits.error().m_message);
     return;
   }
-  m_places.TakeColdLimits(std::move(*limits), ReadClock());
+  m_places.UpdateColdLimits(std::move(*limits), ReadClock());
 }
 
 void MemberSide::ExpectWarmth(std::int64_t index, Instant now) {
@@ -180,7 +180,7 @@
   if (ChangesServer(m_machine.m_hosted, record))
     return true;
   const auto expected = m_cold_until.find(record.id);
-  if (expected == m_cold_until.end() || !ChangesCold(m_machine.m_hosted, record))
+  if (expected == m_cold_until.end() || !ChangesColdTime(m_machine.m_hosted, record))
     return false;
   const Instant until = ReadClock() + std::chrono::milliseconds(record.cold_for_ms);
   return until > expected->second + kColdWordSlack;
--- a/apps/poppywayd/member_side.cc
+++ b/apps/poppywayd/member_side.cc
@@ -175,7 +175,7 @@
   if (servers)
     ExpectWarmth(servers_before, ReadClock());
   if (servers || rollouts)
-    m_places.TakeServers(m_machine.m_hosted, ReadClock());
+    m_places.UpdateServers(m_machine.m_hosted, ReadClock());
   if (!declared && !document && !servers)
     return;
   if (declared)
@@ -231,7 +231,7 @@
     SayHello(now);
   if (!leads()) {
     m_table = {};
-    m_places.End();
+    m_places.OnLeadershipLost();
     if (!m_pending.empty())
       FailPending("leadership was lost");
     return;
@@ -243,8 +243,8 @@
         std::chrono::milliseconds(m_settings.m_lease_ms / 5), now);
   ProposeDue(now);
   if (m_settings.m_hosted && m_places.epoch() != m_node.m_hard.term)
-    m_places.Begin(m_node.m_hard.term, m_machine.m_hosted,
-                   std::chrono::milliseconds(m_settings.m_confirm_ms), now);
+    m_places.OnLeadershipGained(m_node.m_hard.term, m_machine.m_hosted,
+                                std::chrono::milliseconds(m_settings.m_confirm_ms), now);
   m_places.Tick(now);
   ProposeRollouts(now);
 }
@@ -437,7 +437,7 @@
       answer.members = m_node.m_membership.members;
     answer.document_version = m_machine.m_hosted.m_document.version;
     answer.servers_index = m_machine.m_hosted.m_servers_index;
-    m_places.OnHeard(beat.incarnation, now);
+    m_places.RecordContact(beat.incarnation, now);
   }
   wire::Body body;
   body.__set_heartbeat_reply(answer);
--- a/apps/poppywayd/member_side.h
+++ b/apps/poppywayd/member_side.h
@@ -9,7 +9,6 @@
 #include <vector>
 
 #include "log_writer.h"
-#include "place_side.h"
 #include "poppyway/log.h"
 #include "poppyway/settings.h"
 #include "poppyway/state.h"
@@ -17,6 +16,7 @@
 #include "poppyway/wire.h"
 #include "registry_bound.h"
 #include "rollout_side.h"
+#include "slot_broker_service.h"
 
 namespace poppyway {
 
@@ -74,8 +74,9 @@
   void SubmitEvacuation(const wire::EvacuationOrder& order, const ReplyFn& reply);
 
   /// Hosted: reads the limits of cold servers out of an operator's document, by pool.
-  using ColdReader = std::function<Result<std::map<std::string, ColdLimit>>(const wire::Document&)>;
-  void SetColdReader(ColdReader reader);
+  using ColdLimitReader =
+      std::function<Result<std::map<std::string, SlowStartLimit>>(const wire::Document&)>;
+  void SetColdLimitReader(ColdLimitReader reader);
 
   [[nodiscard]] bool leads() const noexcept { return m_node.m_role == Role::kLeader; }
   /// The error for a caller that should ask the leader.
@@ -207,9 +208,9 @@
   std::unique_ptr<LogWriter> m_writer;
   StateMachine m_machine;
   InstanceTable m_table;
-  PlaceSide m_places;
+  SlotBrokerService m_places;
   RolloutSide m_rollouts;
-  ColdReader m_cold_reader;
+  ColdLimitReader m_cold_limit_reader;
   std::map<std::string, Instant> m_cold_until;  ///< By server, as each said last.
   RegistryBound m_registry;
   std::map<std::string, std::unique_ptr<PeerClient>> m_peers;  ///< By member name.
--- a/apps/poppywayd/rollout_side.cc
+++ b/apps/poppywayd/rollout_side.cc
@@ -31,7 +31,7 @@
 
 void LogTrial(const char* event,
               const wire::Rollout& rollout,
-              const RolloutSight& sight,
+              const RolloutObservation& sight,
               Duration left,
               std::string_view why) {
   POPPYWAY_LOG(info, event)
@@ -68,7 +68,7 @@
 }
 
 std::vector<wire::RolloutStep> RolloutSide::DueSteps(const HostedState& state,
-                                                     const PlaceSide& places,
+                                                     const SlotBrokerService& places,
                                                      Instant now) {
   std::vector<wire::RolloutStep> steps;
   for (const auto& [pool, rollout] : state.m_rollouts) {
@@ -83,11 +83,11 @@
 
 std::optional<wire::RolloutStep> RolloutSide::DueStep(const wire::Rollout& rollout,
                                                       Watch& watch,
-                                                      const PlaceSide& places,
+                                                      const SlotBrokerService& places,
                                                       Instant now) {
-  const RolloutSight sight = places.SeeRollout(rollout.pool);
+  const RolloutObservation sight = places.ObserveRollout(rollout.pool);
   const Duration left = watch.m_deadline - now;
-  RolloutView view;
+  RolloutInputs view;
   view.m_moving = rollout.stage == wire::RolloutStage::MOVING;
   view.m_finding = sight.m_finding;
   view.m_others_left = sight.m_others_left;
@@ -96,7 +96,7 @@
   view.m_duration = std::chrono::milliseconds(rollout.duration_ms);
   view.m_left = left;
   std::string_view why;
-  const RolloutDecision decision = Decide(view, why);
+  const RolloutDecision decision = DecideRollout(view, why);
   if (now - watch.m_logged >= kLogInterval) {
     watch.m_logged = now;
     LogTrial("rollout_trial", rollout, sight, left, why);
--- a/apps/poppywayd/rollout_side.h
+++ b/apps/poppywayd/rollout_side.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "place_side.h"
 #include "poppyway/policy.h"
 #include "poppyway/state.h"
 #include "poppyway/telemetry.h"
+#include "slot_broker_service.h"
 
 namespace poppyway {
 
@@ -28,7 +28,7 @@
 
   /// This member leads: what is to be proposed now.
   [[nodiscard]] std::vector<wire::RolloutStep> DueSteps(const HostedState& state,
-                                                        const PlaceSide& places,
+                                                        const SlotBrokerService& places,
                                                         Instant now);
 
   /// True if `order` is that of the pool's last roll-out, which was ordered a short while ago: the
@@ -50,7 +50,7 @@
 
   [[nodiscard]] std::optional<wire::RolloutStep> DueStep(const wire::Rollout& rollout,
                                                          Watch& watch,
-                                                         const PlaceSide& places,
+                                                         const SlotBrokerService& places,
                                                          Instant now);
 
   ExposureBounds m_bounds;
--- a/apps/poppywayd/place_side.cc
+++ b/apps/poppywayd/slot_broker_service.cc
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-#include "place_side.h"
+#include "slot_broker_service.h"
 
 #include <algorithm>
 
-#include "place_convert.h"
+#include "slot_convert.h"
 
 namespace poppyway {
 namespace {
@@ -29,31 +29,33 @@
 /// What a pool comes to.
 struct PoolSums {
   int m_servers = 0;  ///< That take new work.
-  int m_avoided = 0;  ///< Of those, kept from it for failures.
+  int m_ejected = 0;  ///< Of those, kept from it for failures.
   int m_slots = 0;
   int m_taken = 0;
   int m_cold = 0;         ///< That are, or may be, cold.
   int m_backing_off = 0;  ///< That have asked some instance to send nothing for a while.
 };
 
-PoolSums SumOf(const OutageWatch& outages, const PlacePool& pool, Instant now) {
+PoolSums SumOf(const OutageDetector& outages, const SlotPool& pool, Instant now) {
   PoolSums sums;
   for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
     if (pool.m_servers[i].m_leaving || pool.m_servers[i].m_evacuated)
       continue;
     ++sums.m_servers;
-    const bool lost = IsLost(outages, pool.m_servers[i].m_data_centre, pool.m_servers[i].m_id);
-    sums.m_avoided += lost || Avoided(pool.m_health[i], now) ? 1 : 0;
+    const bool lost =
+        IsServerSuspect(outages, pool.m_servers[i].m_data_centre, pool.m_servers[i].m_id);
+    sums.m_ejected += lost || IsEjected(pool.m_health[i], now) ? 1 : 0;
     sums.m_slots += pool.m_views[i].m_slots;
-    sums.m_cold += pool.m_cold.m_per_s > 0 && IsCold(pool.m_ramps[i], now) ? 1 : 0;
-    sums.m_backing_off += AnyBackOff(pool.m_words[i], now) ? 1 : 0;
-    sums.m_taken += pool.m_views[i].m_others;
+    sums.m_cold +=
+        pool.m_slow_start_limit.m_per_s > 0 && IsCold(pool.m_slow_starts[i], now) ? 1 : 0;
+    sums.m_backing_off += AnyBackOff(pool.m_notices[i], now) ? 1 : 0;
+    sums.m_taken += pool.m_views[i].m_other_in_flight;
   }
   return sums;
 }
 
 /// Of several servers at one address only the latest is there.
-std::vector<PlaceServer> PresentServers(const HostedState& state, const RegionMap& regions) {
+std::vector<BackendServer> PresentServers(const HostedState& state, const RegionMap& regions) {
   std::map<std::pair<std::string, int>, const wire::ServerRecord*> latest;
   for (const auto& [id, record] : state.m_servers) {
     const wire::ServerRecord*& known = latest[{record.address, record.port}];
@@ -63,11 +65,11 @@
     if (first_seen && later)
       known = &record;
   }
-  std::vector<PlaceServer> servers;
+  std::vector<BackendServer> servers;
   for (const auto& [id, record] : state.m_servers) {
     if (record.stage == wire::ServerStage::GONE || record.pool.empty())
       continue;
-    PlaceServer& server = servers.emplace_back(ToPlaceServer(record));
+    BackendServer& server = servers.emplace_back(ToBackendServer(record));
     server.m_region = RegionOf(regions, record.data_centre);
     server.m_evacuated = IsEvacuated(state, record.data_centre);
     server.m_leaving = server.m_leaving || latest.at({record.address, record.port}) != &record;
@@ -75,8 +77,8 @@
   return servers;
 }
 
-std::vector<PlaceRollout> RolloutsUnderWay(const HostedState& state) {
-  std::vector<PlaceRollout> rollouts;
+std::vector<SlotRollout> RolloutsUnderWay(const HostedState& state) {
+  std::vector<SlotRollout> rollouts;
   for (const auto& [pool, rollout] : state.m_rollouts) {
     if (UnderWay(rollout))
       rollouts.push_back(
@@ -89,19 +91,19 @@
 
 }  // namespace
 
-void PlaceSide::Begin(std::int64_t term,
-                      const HostedState& servers,
-                      Duration may_serve,
-                      Instant now) {
+void SlotBrokerService::OnLeadershipGained(std::int64_t term,
+                                           const HostedState& servers,
+                                           Duration may_serve,
+                                           Instant now) {
   const auto seed = static_cast<std::uint64_t>(now.time_since_epoch().count());
-  m_broker = BeginBroker(term, seed, may_serve, now);
+  m_broker = MakeSlotBroker(term, seed, may_serve, now);
   SetRegions(*m_broker, m_regions);
   m_lines.clear();
-  TakeServers(servers, now);
+  UpdateServers(servers, now);
   POPPYWAY_LOG(info, "broker_began").Field("epoch", term);
 }
 
-void PlaceSide::End() {
+void SlotBrokerService::OnLeadershipLost() {
   if (!m_broker)
     return;
   POPPYWAY_LOG(info, "broker_ended").Field("epoch", m_broker->m_epoch);
@@ -109,25 +111,26 @@
   m_lines.clear();
 }
 
-void PlaceSide::TakeColdLimits(std::map<std::string, ColdLimit> limits, Instant now) {
+void SlotBrokerService::UpdateColdLimits(std::map<std::string, SlowStartLimit> limits,
+                                         Instant now) {
   m_cold_limits = std::move(limits);
   if (!m_broker)
     return;
-  SetColdLimits(*m_broker, m_cold_limits);
-  TakeColdNews(*m_broker, now);
+  SetSlowStartLimits(*m_broker, m_cold_limits);
+  UpdateSlowStart(*m_broker, now);
 }
 
-void PlaceSide::TakeServers(const HostedState& servers, Instant now) {
+void SlotBrokerService::UpdateServers(const HostedState& servers, Instant now) {
   if (!m_broker)
     return;
   SetServers(*m_broker, PresentServers(servers, m_regions));
-  SetColdLimits(*m_broker, m_cold_limits);
-  TakeColdNews(*m_broker, now);
+  SetSlowStartLimits(*m_broker, m_cold_limits);
+  UpdateSlowStart(*m_broker, now);
   SetRollouts(*m_broker, RolloutsUnderWay(servers), m_bounds);
 }
 
-RolloutSight PlaceSide::SeeRollout(const std::string& pool) const {
-  RolloutSight sight;
+RolloutObservation SlotBrokerService::ObserveRollout(const std::string& pool) const {
+  RolloutObservation sight;
   if (!m_broker)
     return sight;
   const auto found = m_broker->m_pools.find(pool);
@@ -147,29 +150,30 @@
     if (found->second.m_servers[i].m_version == trial.m_target)
       continue;
     sight.m_others_left = sight.m_others_left || !found->second.m_servers[i].m_leaving;
-    sight.m_others_busy = sight.m_others_busy || found->second.m_views[i].m_others > 0;
+    sight.m_others_busy = sight.m_others_busy || found->second.m_views[i].m_other_in_flight > 0;
   }
   return sight;
 }
 
-std::optional<int> PlaceSide::RunningIn(const std::string& data_centre) const {
+std::optional<int> SlotBrokerService::CountRunningIn(const std::string& data_centre) const {
   if (!m_broker)
     return std::nullopt;
   int running = 0;
   for (const auto& [name, pool] : m_broker->m_pools) {
     for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
       if (pool.m_servers[i].m_data_centre == data_centre)
-        running += pool.m_views[i].m_others;
+        running += pool.m_views[i].m_other_in_flight;
     }
   }
   return running;
 }
 
-void PlaceSide::OnBatch(const wire::PlaceBatch& batch,
-                        PeerConnection& from,
-                        bool may_decide,
-                        Instant now) {
-  const bool known = m_broker && (batch.resync || m_broker->m_holders.contains(batch.incarnation));
+void SlotBrokerService::OnBatch(const wire::PlaceBatch& batch,
+                                PeerConnection& from,
+                                bool may_decide,
+                                Instant now) {
+  const bool known =
+      m_broker && (batch.resync || m_broker->m_instance_slots.contains(batch.incarnation));
   if (!may_decide || !known || batch.epoch != epoch()) {
     wire::Envelope envelope;
     envelope.id = 0;
@@ -182,24 +186,24 @@
     return;
   }
   m_lines[batch.incarnation] = {from.weak_from_this(), Instant{}};
-  std::vector<PlaceAnswer> answers;
-  TakeBatch(*m_broker, batch.incarnation, FromWire(batch), now, answers);
+  std::vector<SlotResponse> answers;
+  ApplyBatch(*m_broker, batch.incarnation, FromWire(batch), now, answers);
   Send(answers);
 }
 
-void PlaceSide::OnHeard(const std::string& incarnation, Instant now) {
+void SlotBrokerService::RecordContact(const std::string& incarnation, Instant now) {
   if (!m_broker)
     return;
-  const auto holder = m_broker->m_holders.find(incarnation);
-  if (holder != m_broker->m_holders.end())
-    holder->second.m_heard = now;
+  const auto holder = m_broker->m_instance_slots.find(incarnation);
+  if (holder != m_broker->m_instance_slots.end())
+    holder->second.m_last_heard = now;
 }
 
-void PlaceSide::Send(const std::vector<PlaceAnswer>& answers) {
+void SlotBrokerService::Send(const std::vector<SlotResponse>& answers) {
   std::map<std::string, wire::PlaceAnswers> by_holder;
-  for (const PlaceAnswer& answer : answers) {
+  for (const SlotResponse& answer : answers) {
     ++m_verdicts[static_cast<std::size_t>(answer.m_verdict)];
-    by_holder[answer.m_holder].answers.push_back(ToWire(answer));
+    by_holder[answer.m_instance].answers.push_back(ToWire(answer));
   }
   for (auto& [holder, batch] : by_holder) {
     const std::shared_ptr<PeerConnection> connection = m_lines[holder].m_connection.lock();
@@ -214,9 +218,9 @@
   }
 }
 
-void PlaceSide::DropGone(Instant now) {
+void SlotBrokerService::DropGone(Instant now) {
   std::vector<std::string> gone;
-  for (const auto& [incarnation, holder] : m_broker->m_holders) {
+  for (const auto& [incarnation, holder] : m_broker->m_instance_slots) {
     Line& line = m_lines[incarnation];
     const std::shared_ptr<PeerConnection> connection = line.m_connection.lock();
     const bool open = connection && connection->open();
@@ -225,27 +229,27 @@
     else if (line.m_lost == Instant{})
       line.m_lost = now;
     const bool left = !open && now - line.m_lost >= kReturnTime;
-    const bool lost = IsSuspect(m_broker->m_outages, holder.m_data_centre);
-    if (left || now - holder.m_heard >= (lost ? kLostHolderLease : kHolderLease))
+    const bool lost = IsDataCentreSuspect(m_broker->m_outages, holder.m_data_centre);
+    if (left || now - holder.m_last_heard >= (lost ? kLostHolderLease : kHolderLease))
       gone.push_back(incarnation);
   }
-  std::vector<PlaceAnswer> answers;
+  std::vector<SlotResponse> answers;
   for (const std::string& incarnation : gone) {
     POPPYWAY_LOG(info, "holder_gone")
         .Field("incarnation", incarnation)
-        .Field("held", m_broker->m_holders[incarnation].m_held.size());
+        .Field("held", m_broker->m_instance_slots[incarnation].m_held.size());
     m_lines.erase(incarnation);
-    DropHolder(*m_broker, incarnation, now, answers);
+    RemoveInstance(*m_broker, incarnation, now, answers);
   }
   Send(answers);
 }
 
-void PlaceSide::TellOutages() {
+void SlotBrokerService::TellOutages() {
   wire::PlaceAnswers news;
   news.epoch = epoch();
   std::vector<std::string> suspects;
-  for (const auto& [data_centre, sight] : m_broker->m_outages.m_sights) {
-    if (sight.m_suspect && sight.m_back.empty())
+  for (const auto& [data_centre, sight] : m_broker->m_outages.m_data_centres) {
+    if (sight.m_suspect && sight.m_recovered.empty())
       suspects.push_back(data_centre);
   }
   news.__set_suspects(suspects);
@@ -260,77 +264,78 @@
   }
 }
 
-void PlaceSide::LogOutages() {
-  if (m_broker->m_outage_news.empty())
+void SlotBrokerService::LogOutages() {
+  if (m_broker->m_outage_events.empty())
     return;
-  for (const OutageNews& news : m_broker->m_outage_news) {
-    ++m_outage_changes[static_cast<std::size_t>(news.m_change)];
-    const bool one_of_many = news.m_change == OutageChange::kHeard && news.m_back > 1;
+  for (const OutageEvent& event : m_broker->m_outage_events) {
+    ++m_outage_changes[static_cast<std::size_t>(event.m_transition)];
+    const bool one_of_many =
+        event.m_transition == OutageTransition::kServerResponded && event.m_recovered > 1;
     if (one_of_many)
       continue;
-    POPPYWAY_LOG(info, OutageChangeName(news.m_change))
-        .Field("data_centre", news.m_data_centre)
-        .Field("lost", news.m_lost)
-        .Field("told_by", news.m_tellers)
-        .Field("back", news.m_back)
-        .Field("servers", news.m_servers)
-        .Field("after_ms", news.m_quiet.count() / 1000);
+    POPPYWAY_LOG(info, OutageTransitionName(event.m_transition))
+        .Field("data_centre", event.m_data_centre)
+        .Field("lost", event.m_unreachable_servers)
+        .Field("told_by", event.m_reporters)
+        .Field("back", event.m_recovered)
+        .Field("servers", event.m_servers)
+        .Field("after_ms", event.m_silence.count() / 1000);
   }
-  m_broker->m_outage_news.clear();
+  m_broker->m_outage_events.clear();
   TellOutages();
 }
 
-void PlaceSide::Tick(Instant now) {
+void SlotBrokerService::Tick(Instant now) {
   if (!m_broker || now - m_served < kServeInterval)
     return;
   m_served = now;
-  std::vector<PlaceAnswer> answers;
+  std::vector<SlotResponse> answers;
   TickBroker(*m_broker, now, answers);
   Send(answers);
   LogOutages();
   DropGone(now);
-  for (const AvoidedServer& avoided : m_broker->m_avoided) {
+  for (const EjectedServer& avoided : m_broker->m_ejected) {
     POPPYWAY_LOG(info, "server_avoided")
         .Field("server", avoided.m_server)
-        .Field("told_by", avoided.m_told_by)
+        .Field("told_by", avoided.m_reported_by)
         .Field("failures", avoided.m_health.m_failures)
-        .Field("failed_share", avoided.m_health.m_failed_share)
-        .Field("for_ms", (avoided.m_health.m_avoid_until - now).count() / 1000);
+        .Field("failed_share", avoided.m_health.m_failure_rate)
+        .Field("for_ms", (avoided.m_health.m_ejected_until - now).count() / 1000);
   }
-  m_broker->m_avoided.clear();
-  for (const LeavingServer& leaving : m_broker->m_leaving_news)
+  m_broker->m_ejected.clear();
+  for (const LeavingServer& leaving : m_broker->m_leaving_events)
     POPPYWAY_LOG(info, "server_leaves")
         .Field("server", leaving.m_server)
-        .Field("told_by", leaving.m_told_by);
-  m_broker->m_leaving_news.clear();
+        .Field("told_by", leaving.m_reported_by);
+  m_broker->m_leaving_events.clear();
   LogCold(now);
   LogPools(now);
 }
 
-void PlaceSide::LogCold(Instant now) {
+void SlotBrokerService::LogCold(Instant now) {
   std::size_t changed = 0;
   for (auto& [name, pool] : m_broker->m_pools) {
     for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
-      ColdRamp& ramp = pool.m_ramps[i];
-      const bool cold = pool.m_cold.m_per_s > 0 && IsCold(ramp, now);
-      if (cold == ramp.m_logged)
+      SlowStartState& slow_start = pool.m_slow_starts[i];
+      const bool cold = pool.m_slow_start_limit.m_per_s > 0 && IsCold(slow_start, now);
+      if (cold == slow_start.m_logged)
         continue;
-      ramp.m_logged = cold;
+      slow_start.m_logged = cold;
       if (++changed > kMostColdLogged)
         continue;
       POPPYWAY_LOG(info, cold ? "server_cold" : "server_warm")
           .Field("server", pool.m_servers[i].m_id)
           .Field("pool", name)
-          .Field("silent", ramp.m_silent)
-          .Field("told_ms", ramp.m_news.m_left.count() / 1000)
-          .Field("sent_last_s", ramp.m_sent.size());
+          .Field("silent", slow_start.m_silent)
+          .Field("told_ms", slow_start.m_update.m_left.count() / 1000)
+          .Field("sent_last_s", slow_start.m_sent.size());
     }
   }
   if (changed > kMostColdLogged)
     POPPYWAY_LOG(info, "servers_cold_changed").Field("servers", changed);
 }
 
-void PlaceSide::LogPools(Instant now) {
+void SlotBrokerService::LogPools(Instant now) {
   if (now - m_logged < kLogInterval)
     return;
   m_logged = now;
@@ -341,17 +346,17 @@
     POPPYWAY_LOG(info, "places")
         .Field("pool", name)
         .Field("servers", sums.m_servers)
-        .Field("avoided", sums.m_avoided)
+        .Field("avoided", sums.m_ejected)
         .Field("cold", sums.m_cold)
         .Field("backing_off", sums.m_backing_off)
         .Field("cold_waits", m_broker->m_cold_waits[name])
         .Field("slots", sums.m_slots)
         .Field("taken", sums.m_taken)
         .Field("waiting", pool.m_waiting.size())
-        .Field("holders", m_broker->m_holders.size())
-        .Field("heard_share", HeardShare(*m_broker));
+        .Field("holders", m_broker->m_instance_slots.size())
+        .Field("heard_share", ReachableShare(*m_broker));
   }
-  for (const auto& [pair, trip] : m_broker->m_reach.m_round_trips) {
+  for (const auto& [pair, trip] : m_broker->m_round_trip_table.m_round_trips) {
     POPPYWAY_LOG(info, "round_trip")
         .Field("from", pair.first)
         .Field("to", pair.second)
@@ -359,24 +364,25 @@
   }
 }
 
-void PlaceSide::AddMetrics(MetricSet& metrics) const {
+void SlotBrokerService::AddMetrics(MetricSet& metrics) const {
   for (std::size_t i = 0; i < std::size(m_verdicts); ++i) {
-    const auto verdict = static_cast<PlaceVerdict>(i);
+    const auto verdict = static_cast<SlotVerdict>(i);
     metrics.Set("poppyway_place_answers_total",
-                "verdict=\"" + std::string(PlaceVerdictName(verdict)) + "\"",
+                "verdict=\"" + std::string(SlotVerdictName(verdict)) + "\"",
                 static_cast<double>(m_verdicts[i]));
   }
-  for (const OutageChange change :
-       {OutageChange::kSuspect, OutageChange::kHeard, OutageChange::kOver}) {
+  for (const OutageTransition change :
+       {OutageTransition::kSuspect, OutageTransition::kServerResponded,
+        OutageTransition::kRecovered}) {
     metrics.Set("poppyway_outage_changes_total",
-                "change=\"" + std::string(OutageChangeName(change)) + "\"",
+                "change=\"" + std::string(OutageTransitionName(change)) + "\"",
                 static_cast<double>(m_outage_changes[static_cast<std::size_t>(change)]));
   }
   if (!m_broker)
     return;
-  metrics.Set("poppyway_suspect_data_centres", "", m_broker->m_outages.m_suspects);
-  metrics.Set("poppyway_place_holders", "", static_cast<double>(m_broker->m_holders.size()));
-  for (const auto& [pair, trip] : m_broker->m_reach.m_round_trips)
+  metrics.Set("poppyway_suspect_data_centres", "", m_broker->m_outages.m_suspect_count);
+  metrics.Set("poppyway_place_holders", "", static_cast<double>(m_broker->m_instance_slots.size()));
+  for (const auto& [pair, trip] : m_broker->m_round_trip_table.m_round_trips)
     metrics.Set("poppyway_place_round_trip_seconds",
                 "from=\"" + pair.first + "\",to=\"" + pair.second + "\"", Seconds(trip));
   for (const auto& [name, pool] : m_broker->m_pools) {
@@ -384,7 +390,7 @@
     const PoolSums sums = SumOf(m_broker->m_outages, pool, ReadClock());
     metrics.Set("poppyway_place_slots", label, sums.m_slots);
     metrics.Set("poppyway_place_taken", label, sums.m_taken);
-    metrics.Set("poppyway_place_avoided", label, sums.m_avoided);
+    metrics.Set("poppyway_place_avoided", label, sums.m_ejected);
     metrics.Set("poppyway_place_cold", label, sums.m_cold);
     metrics.Set("poppyway_place_backing_off", label, sums.m_backing_off);
     const auto waits = m_broker->m_cold_waits.find(name);
--- a/apps/poppywayd/place_convert.h
+++ b/apps/poppywayd/slot_convert.h
@@ -9,15 +9,15 @@
 
 /// \brief Batches for the broker of places and its answers as they go over the wire: points in
 /// time become ages and spans, in milliseconds; the incarnation and data centre are the sender's.
-[[nodiscard]] wire::PlaceBatch ToWire(const PlaceBatch& batch,
+[[nodiscard]] wire::PlaceBatch ToWire(const SlotBatch& batch,
                                       const std::string& incarnation,
                                       const std::string& data_centre);
-[[nodiscard]] PlaceBatch FromWire(const wire::PlaceBatch& batch);
+[[nodiscard]] SlotBatch FromWire(const wire::PlaceBatch& batch);
 
-[[nodiscard]] wire::PlaceAnswer ToWire(const PlaceAnswer& answer);
-[[nodiscard]] PlaceAnswer FromWire(const wire::PlaceAnswer& answer);
+[[nodiscard]] wire::PlaceAnswer ToWire(const SlotResponse& answer);
+[[nodiscard]] SlotResponse FromWire(const wire::PlaceAnswer& answer);
 
 /// \brief What of a registered server decides on its places.
-[[nodiscard]] PlaceServer ToPlaceServer(const wire::ServerRecord& record);
+[[nodiscard]] BackendServer ToBackendServer(const wire::ServerRecord& record);
 
 }  // namespace poppyway
--- a/bench/fleet.cc
+++ b/bench/fleet.cc
@@ -49,7 +49,7 @@
   Fleet(const Scenario& scenario, Strategy strategy, std::uint64_t seed)
       : m_scenario(scenario), m_strategy(strategy), m_random(seed) {
     for (std::size_t e = 0; e < scenario.m_generations.size(); ++e) {
-      fakes::EngineSpec spec = fakes::SpecOf(scenario.m_generations[e]);
+      fakes::EngineSpec spec = fakes::EngineSpecOf(scenario.m_generations[e]);
       spec.m_slots = scenario.m_slots;
       m_engines.emplace_back(spec);
       m_ids.push_back("e" + std::to_string(e));
@@ -227,7 +227,7 @@
     }
     m_last_admitted[live.m_arrival->m_tier] =
         std::max(m_last_admitted[live.m_arrival->m_tier], client.m_floor_epoch);
-    const std::optional<Credit> credit = ArriveRequest(client, ToWaiting(ref), m_ids, now);
+    const std::optional<Credit> credit = DispatchOrEnqueue(client, ToWaiting(ref), m_ids, now);
     if (credit)
       Spend(ref, *credit, now);
   }
@@ -278,7 +278,7 @@
       if (gateway == 0 && m_gateway_down)
         continue;
       PoolClient& client = m_clients[static_cast<std::size_t>(gateway)];
-      Perform(client, AcceptGrants(client, message.m_batch, message.m_lease_end, now), now);
+      Perform(client, HandleGrants(client, message.m_batch, message.m_lease_end, now), now);
     }
     for (int g = 0; g < m_scenario.m_gateways; ++g) {
       if (g == 0 && m_gateway_down)
@@ -300,7 +300,7 @@
       m_to_broker.pop_front();
       m_last_sent[static_cast<std::size_t>(std::atoi(message.m_demand.m_gateway.c_str() + 1))] =
           message.m_sent;
-      Send(TakeDemand(m_broker, message.m_demand, now), now);
+      Send(HandleDemand(m_broker, message.m_demand, now), now);
     }
     if (tick)
       Send(TickBroker(m_broker, now), now);
@@ -367,7 +367,8 @@
     if (!live.m_first) {
       live.m_first = true;
       m_outcome.m_first_token.Record(event.m_at - live.m_arrival->m_at);
-      NoteUse(ClientOf(live), live.m_credit, UseStage::kFirstToken, event.m_at - live.m_dispatched);
+      RecordUse(ClientOf(live), live.m_credit, UseStage::kFirstToken,
+                event.m_at - live.m_dispatched);
     } else {
       m_outcome.m_between_tokens.Record(event.m_at - live.m_last_token);
     }
--- a/bench/scenarios.cc
+++ b/bench/scenarios.cc
@@ -53,8 +53,8 @@
 double SlotSeconds(const Deployment& deployment, const Arrival& arrival) {
   double rate = 0;  // Requests a second of one slot, if all were like this one.
   for (int e = 0; e < deployment.m_engines; ++e) {
-    const fakes::EngineSpec spec = fakes::SpecOf(GenerationOf(e));
-    const double decode = Seconds(spec.m_decode_step) * (1 + spec.m_crowding);
+    const fakes::EngineSpec spec = fakes::EngineSpecOf(GenerationOf(e));
+    const double decode = Seconds(spec.m_decode_step) * (1 + spec.m_batch_slowdown);
     const double prefill =
         static_cast<double>(arrival.m_prompt_tokens) / spec.m_prefill_tokens_per_s;
     rate += 1.0 / (decode * static_cast<double>(arrival.m_output_tokens) + prefill);
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -324,7 +324,7 @@
 void MeasureBroker() {
   for (const int engines : {16, 55, 128}) {
     BrokerSettings settings;
-    settings.m_standing_share = 0;
+    settings.m_pregranted_share = 0;
     Broker broker = MakeBroker(settings, 1, Instant{});
     broker.m_recovering_until = {};
     std::vector<EngineBudget> budgets;
@@ -358,7 +358,7 @@
         demand.m_uses.push_back({out.front(), UseStage::kFinished, Duration(900'000)});
         out.erase(out.begin());
       }
-      for (const GrantBatch& batch : TakeDemand(broker, demand, now)) {
+      for (const GrantBatch& batch : HandleDemand(broker, demand, now)) {
         for (const Credit& credit : batch.m_credits)
           out.push_back(credit.m_id);
       }
--- a/fakes/engine_model.cc
+++ b/fakes/engine_model.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-EngineSpec SpecOf(const std::string& generation) {
+EngineSpec EngineSpecOf(const std::string& generation) {
   if (generation == "g1")
     return {4000, Duration(40'000), 0.5, 8, 32768};
   if (generation == "g3")
@@ -60,8 +60,8 @@
 
 Duration EngineModel::Step() const {
   const double crowd = static_cast<double>(m_active.size()) / m_spec.m_slots;
-  const double step =
-      static_cast<double>(m_spec.m_decode_step.count()) * (1 + m_spec.m_crowding * crowd) / m_speed;
+  const double step = static_cast<double>(m_spec.m_decode_step.count()) *
+                      (1 + m_spec.m_batch_slowdown * crowd) / m_speed;
   return Duration(static_cast<std::int64_t>(step));
 }
 
--- a/fakes/engine_model.h
+++ b/fakes/engine_model.h
@@ -18,13 +18,13 @@
 struct EngineSpec {
   double m_prefill_tokens_per_s = 8000;
   Duration m_decode_step{25'000};  ///< Between tokens on an otherwise empty engine.
-  double m_crowding = 0.5;         ///< Added share of the step when the batch is full.
+  double m_batch_slowdown = 0.5;   ///< Added share of the step when the batch is full.
   int m_slots = 8;
   std::int64_t m_cache_tokens = 65536;  ///< Prompt tokens whose prefixes stay cached.
 };
 
 /// \brief A spec by hardware generation: "g1" (slow), "g2", "g3" (fast).
-[[nodiscard]] EngineSpec SpecOf(const std::string& generation);
+[[nodiscard]] EngineSpec EngineSpecOf(const std::string& generation);
 
 /// \brief A request to an engine.
 struct EngineJob {
--- a/fakes/fake_server.cc
+++ b/fakes/fake_server.cc
@@ -354,7 +354,7 @@
     const std::size_t colon = engine.find(':');
     const auto port = static_cast<std::uint16_t>(std::stoi(engine.substr(0, colon)));
     g_state.m_ports[port].m_engine =
-        std::make_unique<EngineModel>(SpecOf(engine.substr(colon + 1)));
+        std::make_unique<EngineModel>(EngineSpecOf(engine.substr(colon + 1)));
     g_state.m_ports[port].m_port = port;
     g_state.m_ports[port].m_instant = engine.ends_with(":instant");
     if (!ListenOn(loop, port))
--- a/packages/forward/include/poppyway/forward/impl/dialect.h
+++ b/packages/forward/include/poppyway/forward/impl/dialect.h
@@ -32,7 +32,7 @@
   std::int64_t m_most_tokens = 0;      ///< That it may generate.
   std::int64_t m_expected_tokens = 0;  ///< That the caller expects; often far off. Zero: not told.
   bool m_names_tokens = false;
-  std::vector<PrefixPart> m_parts;
+  std::vector<PromptSegment> m_prompt_segments;
   std::optional<std::int64_t> m_resume_after;  ///< The last event that the caller has.
   std::vector<Field> m_forwarded;              ///< What a backend server gets unchanged.
 
--- a/packages/forward/include/poppyway/forward/impl/fleet_messages.h
+++ b/packages/forward/include/poppyway/forward/impl/fleet_messages.h
@@ -50,7 +50,7 @@
 /// \brief The broker's answers to place requests.
 struct PlacesAnswered {
   std::int64_t m_epoch = 0;
-  std::vector<PlaceAnswer> m_answers;
+  std::vector<SlotResponse> m_answers;
   /// All data centres that it holds to be lost or cut off; unset: no news of it.
   std::optional<std::vector<std::string>> m_suspects = std::nullopt;
 };
@@ -72,7 +72,7 @@
 
 /// \brief How the forwarder reaches the broker, through the control task; both on one thread.
 struct BrokerPort {
-  std::function<void(PlaceBatch)> m_send;
+  std::function<void(SlotBatch)> m_send;
   std::function<void()> m_silent;  ///< The broker doesn't answer: it is to be found anew.
 };
 
--- a/packages/forward/include/poppyway/forward/impl/forwarder.h
+++ b/packages/forward/include/poppyway/forward/impl/forwarder.h
@@ -27,7 +27,7 @@
   std::string m_instance;
   std::string m_data_centre;
   RegionMap m_regions;  ///< Of all data centres.
-  ColdTolerance m_cold_tolerance;
+  SlowStartTolerance m_slow_start_tolerance;
   Endpoint m_callers;                ///< Where callers connect.
   Endpoint m_readiness;              ///< Where the balancer asks.
   Endpoint m_metrics;                ///< Port 0: none.
@@ -42,14 +42,14 @@
 /// much longer ones, then age.
 struct WaitingOrder {
   Tier m_tier = 0;
-  Tier m_rank = 0;
-  int m_length = 0;  ///< Of the expected answer: doublings above the usual.
+  Tier m_route_tier = 0;
+  int m_length_class = 0;  ///< Of the expected answer: doublings above the usual.
   ForwardingRef m_ref = 0;
 
   friend bool operator==(const WaitingOrder&, const WaitingOrder&) = default;
   friend bool operator<(const WaitingOrder& a, const WaitingOrder& b) {
-    return std::tie(a.m_tier, a.m_rank, a.m_length, a.m_ref) <
-           std::tie(b.m_tier, b.m_rank, b.m_length, b.m_ref);
+    return std::tie(a.m_tier, a.m_route_tier, a.m_length_class, a.m_ref) <
+           std::tie(b.m_tier, b.m_route_tier, b.m_length_class, b.m_ref);
   }
 };
 
@@ -60,14 +60,14 @@
 struct PoolState {
   std::vector<std::string> m_servers;  ///< Ids, in order.
   WaitingQueue m_waiting;
-  std::array<double, kTiers> m_usual_length{};  ///< Logarithm of expected tokens, by rank.
+  std::array<double, kTiers> m_mean_log_tokens{};  ///< Logarithm of expected tokens, by rank.
   RetryBudget m_retries{0};
   bool m_cold_told = false;  ///< One of its servers has said that it is cold.
 };
 
 /// \brief What a broker last said of a workspace's limit.
 struct LimitLeft {
-  double m_left = 0;
+  double m_limit_left = 0;
   QuotaLimit m_limit;
   Instant m_told{};
   std::int64_t m_epoch = 0;  ///< Of that broker.
@@ -85,12 +85,13 @@
   bool m_active = false;    ///< A broker was found. If not, this instance decides alone.
   Instant m_quiet_since{};  ///< A place request has had no answer for too long; zero: none.
   std::int64_t m_epoch = 0;
-  PlaceRef m_next_ref = 1;
-  std::unordered_map<PlaceRef, ForwardingRef> m_asked;  ///< Answers that are awaited.
-  PlaceBatch m_outbox;
+  SlotRef m_next_ref = 1;
+  std::unordered_map<SlotRef, ForwardingRef> m_asked;  ///< Answers that are awaited.
+  SlotBatch m_outbox;
   std::map<std::string, LimitLeft> m_left;  ///< By workspace.
-  std::map<std::string, LoneLimit> m_lone;  ///< By workspace, since the broker was lost.
-  CostSums m_costs;                         ///< Of all requests here that a limit applies to.
+  std::map<std::string, LocalQuotaBucket>
+      m_local_quota;  ///< By workspace, since the broker was lost.
+  CostSums m_costs;   ///< Of all requests here that a limit applies to.
 };
 
 /// \brief All state of the forwarder task. Plain data; the functions of src/ act on it.
@@ -101,8 +102,8 @@
   Instant m_confirmed_until{};
   BrokerLink m_broker;
   InstanceCount m_instances;
-  double m_tokens_per_event = 0;  ///< Learned; zero: not known yet.
-  ReachTable m_reach;             ///< From this instance's region.
+  double m_tokens_per_event = 0;      ///< Learned; zero: not known yet.
+  RoundTripTable m_round_trip_table;  ///< From this instance's region.
   bool m_stopping = false;
   Instant m_stop_begun{};
   bool m_ready_told = false;
@@ -111,7 +112,7 @@
   std::map<Endpoint, std::vector<std::string>> m_at_place;  ///< Ids of servers at each address.
   std::map<std::string, PoolState> m_pools;
   std::map<std::string, wire::Evacuation> m_evacuations;  ///< By data centre.
-  OutageWatch m_outages = OwnOutageWatch();               ///< Fed by this instance's own requests.
+  OutageDetector m_outages = LocalOutageDetector();       ///< Fed by this instance's own requests.
   std::vector<std::string> m_suspects;  ///< Data centres that the broker holds to be lost.
   std::unordered_map<ForwardingRef, std::unique_ptr<Forwarding>> m_forwardings;
   std::vector<ForwardingRef> m_awaiting_start;          ///< Until the configuration is known.
--- a/packages/forward/include/poppyway/forward/impl/route_table.h
+++ b/packages/forward/include/poppyway/forward/impl/route_table.h
@@ -39,11 +39,11 @@
   bool m_resumable = false;  ///< A broken stream may go on at another server.
   bool m_anonymous = false;  ///< Needs no key.
   Tier m_tier = 0;
-  int m_max_attempts = 1;  ///< Servers that one request may be sent to.
-  Duration m_timeout{};    ///< Longest that a request is held.
-  Duration m_aim{};        ///< First event, or the whole answer, wanted within this.
-  Duration m_pause_aim{};  ///< Longest pause between events that is still in time.
-  HomeRegions m_homes;     ///< Where its requests may be served.
+  int m_max_attempts = 1;       ///< Servers that one request may be sent to.
+  Duration m_timeout{};         ///< Longest that a request is held.
+  Duration m_latency_target{};  ///< First event, or the whole answer, wanted within this.
+  Duration m_gap_target{};      ///< Longest pause between events that is still in time.
+  HomeRegions m_home_regions;   ///< Where its requests may be served.
 
   friend bool operator==(const Route&, const Route&) = default;
 };
@@ -54,7 +54,8 @@
   std::string m_health_path;
   int m_max_connections = 0;  ///< Of all instances together, for each server; zero: no limit.
   bool m_engines = false;     ///< Model engines, which read prompts and batch.
-  ColdLimit m_cold;           ///< Without the most that a server may get: settings tell that.
+  SlowStartLimit
+      m_slow_start_limit;  ///< Without the most that a server may get: settings tell that.
 
   friend bool operator==(const Pool&, const Pool&) = default;
 };
@@ -67,7 +68,7 @@
   QuotaLimit m_limit;
   bool m_counts_tokens = false;  ///< The limit counts tokens, else requests.
   double m_plain_cost = 1;       ///< Of a request that names no tokens.
-  HomeRegions m_homes;           ///< Where its requests may be served.
+  HomeRegions m_home_regions;    ///< Where its requests may be served.
 
   friend bool operator==(const Workspace&, const Workspace&) = default;
 };
--- a/packages/forward/src/backends.cc
+++ b/packages/forward/src/backends.cc
@@ -69,8 +69,8 @@
 
 std::int64_t KeptTokens(const Backend& backend, const CallerRequest& request) {
   std::int64_t kept = 0;
-  for (const PrefixPart& part : request.m_parts) {
-    if (!backend.m_parts.contains(part.m_id))
+  for (const PromptSegment& part : request.m_prompt_segments) {
+    if (!backend.m_prompt_segments.contains(part.m_id))
       break;  // A part is only of use with all those before it.
     kept += part.m_tokens;
   }
@@ -83,11 +83,11 @@
                   const RoundTrips& trips) {
   ServerView view;
   view.m_slots = std::max(1, backend.m_record.slots);
-  view.m_own = backend.m_in_flight;
-  view.m_open = PlacesAlone(state, backend) - backend.m_in_flight;
-  view.m_reading_tokens = backend.m_reading_tokens;
-  view.m_kept_tokens = KeptTokens(backend, forwarding.m_request);
-  view.m_pace = backend.m_pace;
+  view.m_own_in_flight = backend.m_in_flight;
+  view.m_available_slots = SlotsWithoutBroker(state, backend) - backend.m_in_flight;
+  view.m_pending_prefill_tokens = backend.m_pending_prefill_tokens;
+  view.m_cached_tokens = KeptTokens(backend, forwarding.m_request);
+  view.m_performance = backend.m_performance;
   view.m_same_data_centre = backend.m_record.data_centre == state.m_settings.m_data_centre;
   view.m_round_trip =
       RoundTripTo(trips, RegionOf(state.m_settings.m_regions, backend.m_record.data_centre));
@@ -100,14 +100,14 @@
                                             std::vector<ServerView> views,
                                             const RequestShape& shape,
                                             Instant now) {
-  const ServerPace typical = TypicalPace(views);
+  const ServerPerformance typical = AveragePerformance(views);
   const std::uint64_t random = state.m_random();
   const bool may_be_cold =
       ColdLimitOf(state, state.m_backends.at(ids[0]).m_record.pool).m_per_s > 0;
   if (may_be_cold) {
     std::vector<ServerView> warm = views;
     for (std::size_t i = 0; i < ids.size(); ++i)
-      warm[i].m_usable = warm[i].m_usable && !IsCold(state.m_backends.at(ids[i]).m_ramp, now);
+      warm[i].m_usable = warm[i].m_usable && !IsCold(state.m_backends.at(ids[i]).m_slow_start, now);
     if (const auto choice = ChooseServer(warm, shape, typical, random))
       return choice;
   }
@@ -142,10 +142,10 @@
   Locate(state, backend, record.id, place);
   // What a server says itself is newer than what the registry was told of it, which may lag by an
   // acknowledgement that the server waits for, or never come.
-  backend.m_leaving = record.stage != wire::ServerStage::READY || backend.m_says_leaving;
+  backend.m_leaving = record.stage != wire::ServerStage::READY || backend.m_announced_leaving;
   if ((!known || new_life) && !backend.m_leaving)
     RetireOthers(state, record.id);
-  TakeColdNews(state, backend, fresh, now);
+  UpdateSlowStart(state, backend, fresh, now);
 }
 
 void TakeServers(ForwarderState& state, const std::vector<wire::ServerRecord>& records) {
@@ -180,31 +180,33 @@
     return std::nullopt;
   const Instant now = ReadClock();
   BeginColdAlone(state, forwarding.m_pool->m_name, now);
-  const RoundTrips trips = RoundTripsFrom(
-      state.m_reach, RegionOf(state.m_settings.m_regions, state.m_settings.m_data_centre));
+  const RoundTrips trips =
+      RoundTripsFrom(state.m_round_trip_table,
+                     RegionOf(state.m_settings.m_regions, state.m_settings.m_data_centre));
   std::vector<ServerView> views;
   views.reserve(ids.size());
   bool any = false;
   for (const std::string& id : ids) {
     const Backend& backend = state.m_backends.at(id);
-    const ServerBar bar = BarOf(state, forwarding, backend, now);
+    const IneligibleReason reason = CheckServerEligibility(state, forwarding, backend, now);
     views.push_back(ViewOf(state, forwarding, backend, trips));
-    views.back().m_usable = bar == ServerBar::kNone;
+    views.back().m_usable = reason == IneligibleReason::kNone;
     // A cold server that has got as much as it may is in use; one that is suspect too isn't.
-    const bool cold_in_use = bar == ServerBar::kCold && !IsSuspectAlone(state, backend, now);
+    const bool cold_in_use =
+        reason == IneligibleReason::kCold && !IsSuspectAlone(state, backend, now);
     any = any || views.back().m_usable || cold_in_use;
   }
   if (!any)
     UseLastResorts(state, forwarding, ids, views, now);
   RequestShape shape;
   shape.m_tier = forwarding.m_route->m_tier;
-  shape.m_yields = yields;
+  shape.m_yields_to_higher_priority = yields;
   shape.m_prompt_tokens = forwarding.m_pool->m_engines ? forwarding.m_request.m_prompt_tokens : 0;
-  shape.m_aim = forwarding.m_route->m_aim;
+  shape.m_latency_target = forwarding.m_route->m_latency_target;
   shape.m_waited = now - forwarding.m_arrived;
   shape.m_left = forwarding.m_deadline - now;
   if (forwarding.m_route->m_stream)
-    shape.m_pause_aim = forwarding.m_route->m_pause_aim;
+    shape.m_gap_target = forwarding.m_route->m_gap_target;
   if (state.m_tokens_per_event > 0)
     shape.m_events =
         static_cast<double>(forwarding.m_request.m_expected_tokens) / state.m_tokens_per_event;
@@ -217,7 +219,7 @@
 
 Duration RoundTripOf(const ForwarderState& state, const Backend& backend) {
   const ForwarderSettings& settings = state.m_settings;
-  return RoundTrip(state.m_reach, RegionOf(settings.m_regions, settings.m_data_centre),
+  return RoundTrip(state.m_round_trip_table, RegionOf(settings.m_regions, settings.m_data_centre),
                    RegionOf(settings.m_regions, backend.m_record.data_centre));
 }
 
@@ -227,29 +229,29 @@
                   Duration connect) {
   const ForwarderSettings& settings = state.m_settings;
   forwarding.m_report.m_connect = connect;
-  ObserveConnect(state.m_reach, RegionOf(settings.m_regions, settings.m_data_centre),
+  ObserveConnect(state.m_round_trip_table, RegionOf(settings.m_regions, settings.m_data_centre),
                  RegionOf(settings.m_regions, backend.m_record.data_centre), connect);
 }
 
-void NoteHealth(ForwarderState& state, Forwarding& forwarding, ServerSign sign) {
-  forwarding.m_report.m_sign = sign;
+void NoteHealth(ForwarderState& state, Forwarding& forwarding, HealthSignal sign) {
+  forwarding.m_report.m_health_signal = sign;
   const std::string& server = forwarding.m_server;
   Backend* backend = FindOwnBackend(state, forwarding);
   if (backend == nullptr)
     return;
   const Instant now = ReadClock();
-  const bool avoided = Avoided(backend->m_health, now);
+  const bool avoided = IsEjected(backend->m_health, now);
   backend->m_health = Observe(backend->m_health, sign, now);
   // A whole answer that is a failure comes from a server that runs.
   if (!forwarding.m_report.m_failed)
-    NoteColdSign(state, *backend, sign, now);
-  if (avoided || !Avoided(backend->m_health, now))
+    ObserveRestartSign(state, *backend, sign, now);
+  if (avoided || !IsEjected(backend->m_health, now))
     return;
   POPPYWAY_LOG(info, "server_avoided")
       .Field("server", server)
       .Field("failures", backend->m_health.m_failures)
-      .Field("failed_share", backend->m_health.m_failed_share)
-      .Field("for_ms", (backend->m_health.m_avoid_until - now).count() / 1000);
+      .Field("failed_share", backend->m_health.m_failure_rate)
+      .Field("for_ms", (backend->m_health.m_ejected_until - now).count() / 1000);
 }
 
 void NoteOtherServer(ForwarderState& state, const std::string& meant, const std::string& found) {
--- a/packages/forward/src/broker_link.cc
+++ b/packages/forward/src/broker_link.cc
@@ -16,78 +16,79 @@
 // the patience for one answer decided it.
 constexpr Duration kBrokerSilence{1'000'000};
 
-PlaceAsk MakeAsk(const ForwarderState& state, const Forwarding& forwarding, Instant now) {
+SlotRequest MakeAsk(const ForwarderState& state, const Forwarding& forwarding, Instant now) {
   const Route& route = *forwarding.m_route;
-  PlaceAsk ask;
-  ask.m_ref = forwarding.m_ask;
-  ask.m_pool = forwarding.m_pool->m_name;
-  ask.m_data_centre = state.m_settings.m_data_centre;
-  ask.m_route = Hash(route.m_name);
-  ask.m_tier = forwarding.m_tier;
-  ask.m_shape.m_tier = route.m_tier;
-  ask.m_shape.m_prompt_tokens =
+  SlotRequest slot_request;
+  slot_request.m_ref = forwarding.m_slot_request;
+  slot_request.m_pool = forwarding.m_pool->m_name;
+  slot_request.m_data_centre = state.m_settings.m_data_centre;
+  slot_request.m_route = Hash(route.m_name);
+  slot_request.m_tier = forwarding.m_tier;
+  slot_request.m_shape.m_tier = route.m_tier;
+  slot_request.m_shape.m_prompt_tokens =
       forwarding.m_pool->m_engines ? forwarding.m_request.m_prompt_tokens : 0;
-  ask.m_shape.m_aim = route.m_aim;
-  ask.m_shape.m_waited = now - forwarding.m_arrived;
-  ask.m_shape.m_left = forwarding.m_deadline - now;
+  slot_request.m_shape.m_latency_target = route.m_latency_target;
+  slot_request.m_shape.m_waited = now - forwarding.m_arrived;
+  slot_request.m_shape.m_left = forwarding.m_deadline - now;
   if (route.m_stream)
-    ask.m_shape.m_pause_aim = route.m_pause_aim;
-  ask.m_expected_tokens = forwarding.m_request.m_expected_tokens;
-  ask.m_wait = forwarding.m_deadline - now;
+    slot_request.m_shape.m_gap_target = route.m_gap_target;
+  slot_request.m_expected_tokens = forwarding.m_request.m_expected_tokens;
+  slot_request.m_wait = forwarding.m_deadline - now;
   if (forwarding.m_pool->m_engines)
-    ask.m_parts = forwarding.m_request.m_parts;
-  ask.m_tried = forwarding.m_tried;
-  ask.m_homes = forwarding.m_homes;
+    slot_request.m_prompt_segments = forwarding.m_request.m_prompt_segments;
+  slot_request.m_tried = forwarding.m_tried;
+  slot_request.m_home_regions = forwarding.m_home_regions;
   if (forwarding.m_workspace != nullptr)
-    ask.m_workspace = forwarding.m_workspace->m_name;
+    slot_request.m_workspace = forwarding.m_workspace->m_name;
   if (forwarding.m_quota.m_cost <= 0)
-    return ask;
-  ask.m_quota = forwarding.m_quota;
-  ask.m_limit = forwarding.m_limit;
-  return ask;
+    return slot_request;
+  slot_request.m_quota = forwarding.m_quota;
+  slot_request.m_limit = forwarding.m_limit;
+  return slot_request;
 }
 
-HeldPlace MakeHeld(const Forwarding& forwarding) {
-  HeldPlace held;
-  held.m_ref = forwarding.m_place;
+HeldSlot MakeHeld(const Forwarding& forwarding) {
+  HeldSlot held;
+  held.m_ref = forwarding.m_slot;
   held.m_server = forwarding.m_server;
-  held.m_reading_tokens = forwarding.m_read_tokens;
+  held.m_pending_prefill_tokens = forwarding.m_read_tokens;
   held.m_expected_tokens = forwarding.m_request.m_expected_tokens;
-  held.m_born = forwarding.m_server_born;
+  held.m_started_ms = forwarding.m_server_started_ms;
   return held;
 }
 
 /// The place isn't used: it goes back at once.
-void ReturnPlace(ForwarderState& state, PlaceRef ref) {
-  PlaceReport report;
+void ReturnPlace(ForwarderState& state, SlotRef ref) {
+  SlotReport report;
   report.m_ref = ref;
   report.m_ended = true;
-  report.m_ran = false;
+  report.m_may_have_run = false;
   state.m_broker.m_outbox.m_reports.push_back(report);
   FlushToBroker(state);
 }
 
-void RememberLeft(ForwarderState& state, const Forwarding& forwarding, const PlaceAnswer& answer) {
-  if (forwarding.m_quota.m_cost <= 0 || answer.m_verdict == PlaceVerdict::kQueued)
+void RememberLeft(ForwarderState& state, const Forwarding& forwarding, const SlotResponse& answer) {
+  if (forwarding.m_quota.m_cost <= 0 || answer.m_verdict == SlotVerdict::kQueued)
     return;
-  state.m_broker.m_left[forwarding.m_workspace->m_name] = {answer.m_left, forwarding.m_limit,
+  state.m_broker.m_left[forwarding.m_workspace->m_name] = {answer.m_limit_left, forwarding.m_limit,
                                                            ReadClock(), state.m_broker.m_epoch};
 }
 
-void UsePlace(ForwarderState& state, Forwarding& forwarding, const PlaceAnswer& answer) {
+void UsePlace(ForwarderState& state, Forwarding& forwarding, const SlotResponse& answer) {
   HearOfLife(state, answer);
   const Backend* backend = FindBackend(state, answer.m_server);
   const Instant now = ReadClock();
   const bool confirmed = forwarding.m_workspace == nullptr || now < state.m_confirmed_until;
-  const ServerBar bar =
-      backend == nullptr ? ServerBar::kLeaving : BarOnSend(state, forwarding, *backend, now);
-  const bool usable = bar == ServerBar::kNone && confirmed;
+  const IneligibleReason reason = backend == nullptr
+                                      ? IneligibleReason::kLeaving
+                                      : CheckEligibilityOnSend(state, forwarding, *backend, now);
+  const bool usable = reason == IneligibleReason::kNone && confirmed;
   if (!usable) {
     POPPYWAY_LOG(info, "place_returned")
         .Field("request", forwarding.m_request.m_id)
         .Field("server", answer.m_server)
         .Field("known", backend != nullptr)
-        .Field("bar", ServerBarName(bar))
+        .Field("bar", IneligibleReasonName(reason))
         .Field("confirmed", confirmed);
     ReturnPlace(state, answer.m_ref);
     forwarding.m_tried.push_back(answer.m_server);
@@ -96,13 +97,13 @@
     return;
   }
   state.m_pools[forwarding.m_pool->m_name].m_waiting.erase(OrderOf(forwarding));
-  forwarding.m_place = answer.m_ref;
+  forwarding.m_slot = answer.m_ref;
   forwarding.m_by_broker = true;
-  forwarding.m_forecast = answer.m_first;
+  forwarding.m_forecast = answer.m_time_to_first_event;
   Dispatch(state, forwarding, answer.m_server);
 }
 
-void LogOverLimit(const Forwarding& forwarding, const PlaceAnswer& answer) {
+void LogOverLimit(const Forwarding& forwarding, const SlotResponse& answer) {
   POPPYWAY_LOG(info, "limit_spent")
       .Field("request", forwarding.m_request.m_id)
       .Field("workspace", forwarding.m_workspace->m_name)
@@ -110,49 +111,49 @@
       .Field("reserve", forwarding.m_quota.m_reserve)
       .Field("rate_per_s", forwarding.m_limit.m_rate_per_s)
       .Field("burst", forwarding.m_limit.m_burst)
-      .Field("left", answer.m_left);
+      .Field("left", answer.m_limit_left);
 }
 
-void RefuseByBroker(ForwarderState& state, Forwarding& forwarding, const PlaceAnswer& answer) {
-  forwarding.m_come_back = answer.m_come_back;
-  if (answer.m_verdict == PlaceVerdict::kOverLimit)
+void RefuseByBroker(ForwarderState& state, Forwarding& forwarding, const SlotResponse& answer) {
+  forwarding.m_estimated_wait = answer.m_estimated_wait;
+  if (answer.m_verdict == SlotVerdict::kOverLimit)
     LogOverLimit(forwarding, answer);
   if (forwarding.m_unsure > 0) {
     Refuse(state, forwarding, ResultCode::kOutcomeUnknown, "no other server had room");
     return;
   }
   switch (answer.m_verdict) {
-    case PlaceVerdict::kOverLimit:
+    case SlotVerdict::kOverLimit:
       Refuse(state, forwarding, ResultCode::kQuotaSpent, "the workspace has used up its limit");
       return;
-    case PlaceVerdict::kNoServer:
+    case SlotVerdict::kNoServer:
       Refuse(state, forwarding, ResultCode::kNoBackend,
-             forwarding.m_homes.m_bound ? "the pool has no server in a home region"
-                                        : "the pool has no server");
+             forwarding.m_home_regions.m_restricted ? "the pool has no server in a home region"
+                                                    : "the pool has no server");
       return;
     default:
       Refuse(state, forwarding, ResultCode::kOverload, "no server had room in time");
   }
 }
 
-void TakeAnswer(ForwarderState& state, const PlaceAnswer& answer) {
+void TakeAnswer(ForwarderState& state, const SlotResponse& answer) {
   BrokerLink& link = state.m_broker;
   const auto asked = link.m_asked.find(answer.m_ref);
   Forwarding* forwarding = asked == link.m_asked.end() ? nullptr : Find(state, asked->second);
-  const bool awaited = forwarding != nullptr && forwarding->m_ask == answer.m_ref;
+  const bool awaited = forwarding != nullptr && forwarding->m_slot_request == answer.m_ref;
   if (!awaited) {
-    if (answer.m_verdict == PlaceVerdict::kPlaced)
+    if (answer.m_verdict == SlotVerdict::kPlaced)
       ReturnPlace(state, answer.m_ref);
     return;
   }
   RememberLeft(state, *forwarding, answer);
-  if (answer.m_verdict == PlaceVerdict::kQueued) {
+  if (answer.m_verdict == SlotVerdict::kQueued) {
     forwarding->m_queued = true;
     return;
   }
   link.m_asked.erase(asked);
-  forwarding->m_ask = 0;
-  if (answer.m_verdict == PlaceVerdict::kPlaced)
+  forwarding->m_slot_request = 0;
+  if (answer.m_verdict == SlotVerdict::kPlaced)
     UsePlace(state, *forwarding, answer);
   else
     RefuseByBroker(state, *forwarding, answer);
@@ -162,12 +163,13 @@
 std::vector<LimitReport> LimitReports(const BrokerLink& link, Instant now) {
   std::map<std::string, LimitReport> words;
   for (const auto& [workspace, left] : link.m_left)
-    words[workspace] = {workspace, left.m_limit, left.m_left, now - left.m_told, left.m_epoch, 0};
-  for (const auto& [workspace, lone] : link.m_lone) {
-    LimitReport& word = words[workspace];
-    word.m_workspace = workspace;
-    word.m_limit = lone.m_limit;
-    word.m_spent_alone = lone.m_spent;
+    words[workspace] = {workspace,         left.m_limit, left.m_limit_left,
+                        now - left.m_told, left.m_epoch, 0};
+  for (const auto& [workspace, lone] : link.m_local_quota) {
+    LimitReport& report = words[workspace];
+    report.m_workspace = workspace;
+    report.m_limit = lone.m_limit;
+    report.m_charged_without_broker = lone.m_spent;
   }
   std::vector<LimitReport> list;
   for (auto& [workspace, word] : words)
@@ -179,7 +181,7 @@
 void ForgetAsks(ForwarderState& state) {
   for (const auto& [ask, ref] : state.m_broker.m_asked) {
     if (Forwarding* forwarding = Find(state, ref))
-      forwarding->m_ask = 0;
+      forwarding->m_slot_request = 0;
   }
   state.m_broker.m_asked.clear();
 }
@@ -215,14 +217,14 @@
 /// What was spent of limits while the broker was quiet.
 void TellLone(ForwarderState& state) {
   BrokerLink& link = state.m_broker;
-  for (const auto& [workspace, lone] : link.m_lone) {
-    LimitReport word;
-    word.m_workspace = workspace;
-    word.m_limit = lone.m_limit;
-    word.m_spent_alone = lone.m_spent;
-    link.m_outbox.m_limits.push_back(std::move(word));
+  for (const auto& [workspace, lone] : link.m_local_quota) {
+    LimitReport report;
+    report.m_workspace = workspace;
+    report.m_limit = lone.m_limit;
+    report.m_charged_without_broker = lone.m_spent;
+    link.m_outbox.m_limits.push_back(std::move(report));
   }
-  link.m_lone.clear();
+  link.m_local_quota.clear();
   FlushToBroker(state);
 }
 
@@ -234,9 +236,9 @@
   }
   for (const ForwardingRef ref : waiting) {
     Forwarding* forwarding = Find(state, ref);
-    if (forwarding == nullptr || forwarding->m_ask != 0)
+    if (forwarding == nullptr || forwarding->m_slot_request != 0)
       continue;
-    RefundAlone(state, *forwarding);  // The broker charges it.
+    RefundWithoutBroker(state, *forwarding);  // The broker charges it.
     AskBroker(state, *forwarding);
   }
 }
@@ -246,20 +248,20 @@
 void AskBroker(ForwarderState& state, Forwarding& forwarding) {
   BrokerLink& link = state.m_broker;
   const Instant now = ReadClock();
-  forwarding.m_ask = link.m_next_ref++;
+  forwarding.m_slot_request = link.m_next_ref++;
   forwarding.m_asked = now;
   forwarding.m_queued = false;
-  link.m_asked[forwarding.m_ask] = forwarding.m_ref;
-  link.m_outbox.m_asks.push_back(MakeAsk(state, forwarding, now));
+  link.m_asked[forwarding.m_slot_request] = forwarding.m_ref;
+  link.m_outbox.m_slot_requests.push_back(MakeAsk(state, forwarding, now));
   FlushToBroker(state);
 }
 
 void WithdrawAsk(ForwarderState& state, Forwarding& forwarding) {
-  if (forwarding.m_ask == 0)
+  if (forwarding.m_slot_request == 0)
     return;
-  state.m_broker.m_asked.erase(forwarding.m_ask);
-  state.m_broker.m_outbox.m_withdrawn.push_back(forwarding.m_ask);
-  forwarding.m_ask = 0;
+  state.m_broker.m_asked.erase(forwarding.m_slot_request);
+  state.m_broker.m_outbox.m_cancelled_requests.push_back(forwarding.m_slot_request);
+  forwarding.m_slot_request = 0;
   FlushToBroker(state);
 }
 
@@ -276,7 +278,7 @@
   }
   if (message.m_suspects)
     TakeSuspects(state, *message.m_suspects);
-  for (const PlaceAnswer& answer : message.m_answers)
+  for (const SlotResponse& answer : message.m_answers)
     TakeAnswer(state, answer);
   if (was_quiet) {
     AskForAllThatWaits(state);  // Which the broker charges, so it is no longer spent here.
@@ -294,18 +296,18 @@
   state.m_suspects.clear();  // The new broker says anew what it finds.
   link.m_outbox = {};
   link.m_outbox.m_resync = true;
-  link.m_outbox.m_instances = state.m_instances.m_most;
+  link.m_outbox.m_instances = state.m_instances.m_recent_max;
   link.m_outbox.m_limits = LimitReports(link, now);
-  link.m_outbox.m_words = WordsInForce(state, now);
-  link.m_lone.clear();
+  link.m_outbox.m_notices = WordsInForce(state, now);
+  link.m_local_quota.clear();
   for (const auto& [ref, forwarding] : state.m_forwardings) {
-    if (forwarding->m_place != 0)
+    if (forwarding->m_slot != 0)
       link.m_outbox.m_held.push_back(MakeHeld(*forwarding));
   }
   POPPYWAY_LOG(info, "broker_found")
       .Field("epoch", message.m_epoch)
       .Field("held", link.m_outbox.m_held.size())
-      .Field("instances", state.m_instances.m_most);
+      .Field("instances", state.m_instances.m_recent_max);
   FlushToBroker(state);
   AskForAllThatWaits(state);
 }
@@ -354,14 +356,14 @@
 }
 
 void TellPlace(ForwarderState& state, Forwarding& forwarding, bool ended) {
-  if (forwarding.m_place == 0)
+  if (forwarding.m_slot == 0)
     return;
-  PlaceReport report = forwarding.m_report;
+  SlotReport report = forwarding.m_report;
   report.m_ended = ended;
-  report.m_ran = forwarding.m_sent;
-  forwarding.m_report = {.m_ref = forwarding.m_place};
+  report.m_may_have_run = forwarding.m_sent;
+  forwarding.m_report = {.m_ref = forwarding.m_slot};
   if (ended)
-    forwarding.m_place = 0;
+    forwarding.m_slot = 0;
   if (!state.m_broker.m_active)
     return;
   state.m_broker.m_outbox.m_reports.push_back(report);
@@ -373,7 +375,7 @@
   BrokerLink& link = state.m_broker;
   if (!link.m_active || link.m_outbox.empty() || !link.m_port.m_send)
     return;
-  PlaceBatch batch = std::move(link.m_outbox);
+  SlotBatch batch = std::move(link.m_outbox);
   link.m_outbox = {};
   batch.m_epoch = link.m_epoch;
   link.m_port.m_send(std::move(batch));
--- a/packages/forward/src/chain.cc
+++ b/packages/forward/src/chain.cc
@@ -98,7 +98,7 @@
   std::optional<std::int64_t> tokens;
   if (forwarding.m_request.m_names_tokens)
     tokens = forwarding.m_request.m_prompt_tokens + forwarding.m_request.m_most_tokens;
-  forwarding.m_limit = Loosen(workspace->m_limit, state.m_settings.m_quota_tolerance);
+  forwarding.m_limit = WithTolerance(workspace->m_limit, state.m_settings.m_quota_tolerance);
   const double cost = CostOf(*workspace, tokens);
   state.m_broker.m_costs = Add(state.m_broker.m_costs, cost);
   forwarding.m_quota = {cost, ReserveOf(forwarding, cost, forwarding.m_limit)};
@@ -108,12 +108,12 @@
   const std::string& pool = PickPool(*forwarding.m_route, state.m_random());
   forwarding.m_pool = FindPool(*forwarding.m_table, pool);
   PoolState& waiting = state.m_pools[pool];
-  waiting.m_retries = Deposit(waiting.m_retries,
-                              {state.m_settings.m_retry_limit.m_ratio,
-                               state.m_settings.m_retry_limit.m_burst, state.m_instances.m_most});
+  waiting.m_retries = Deposit(
+      waiting.m_retries, {state.m_settings.m_retry_limit.m_ratio,
+                          state.m_settings.m_retry_limit.m_burst, state.m_instances.m_recent_max});
   const auto rank = static_cast<std::size_t>(std::clamp(forwarding.m_route->m_tier, 0, kTiers - 1));
-  forwarding.m_length =
-      LengthClass(waiting.m_usual_length[rank], forwarding.m_request.m_expected_tokens);
+  forwarding.m_length_class =
+      LengthClass(waiting.m_mean_log_tokens[rank], forwarding.m_request.m_expected_tokens);
   PutInQueue(state, forwarding, ReadClock() + FirstWait(forwarding));
   ServeQueue(state, pool);
 }
--- a/packages/forward/src/dispatch.cc
+++ b/packages/forward/src/dispatch.cc
@@ -27,13 +27,13 @@
 }
 
 void RememberParts(Backend& backend, const CallerRequest& request, Instant now) {
-  for (const PrefixPart& part : request.m_parts)
-    backend.m_parts[part.m_id] = now;
-  if (backend.m_parts.size() > kMostParts)
-    std::erase_if(backend.m_parts,
+  for (const PromptSegment& part : request.m_prompt_segments)
+    backend.m_prompt_segments[part.m_id] = now;
+  if (backend.m_prompt_segments.size() > kMostParts)
+    std::erase_if(backend.m_prompt_segments,
                   [now](const auto& part) { return now - part.second > kPartAge; });
-  if (backend.m_parts.size() > kMostParts)
-    backend.m_parts.clear();
+  if (backend.m_prompt_segments.size() > kMostParts)
+    backend.m_prompt_segments.clear();
 }
 
 bool OnMaySend(ForwarderState& state, ForwardingRef ref) {
@@ -45,7 +45,7 @@
   const Instant now = ReadClock();
   const bool confirmed = forwarding->m_workspace == nullptr || now < state.m_confirmed_until;
   if (backend == nullptr || !confirmed ||
-      BarOnSend(state, *forwarding, *backend, now) != ServerBar::kNone)
+      CheckEligibilityOnSend(state, *forwarding, *backend, now) != IneligibleReason::kNone)
     return false;
   ++forwarding->m_unsure;
   ++forwarding->m_reached;
@@ -67,7 +67,7 @@
   forwarding.m_stage =
       forwarding.m_caller.m_started ? ForwardingStage::kRelaying : ForwardingStage::kCalling;
   forwarding.m_server = server;
-  forwarding.m_server_born = backend.m_record.born;
+  forwarding.m_server_started_ms = backend.m_record.born;
   forwarding.m_answer = {};
   forwarding.m_headed = false;
   forwarding.m_buffered.clear();
@@ -77,17 +77,17 @@
   forwarding.m_call_events = 0;
   forwarding.m_dispatched = now;
   forwarding.m_sent = false;
-  if (forwarding.m_place == 0) {
-    forwarding.m_place = state.m_broker.m_next_ref++;
+  if (forwarding.m_slot == 0) {
+    forwarding.m_slot = state.m_broker.m_next_ref++;
     forwarding.m_by_broker = false;
     NoteColdAlone(state, backend, now);
     TellHeld(state, forwarding);
   }
-  forwarding.m_report = {.m_ref = forwarding.m_place};
+  forwarding.m_report = {.m_ref = forwarding.m_slot};
   forwarding.m_read_tokens = forwarding.m_request.m_prompt_tokens;
   ++backend.m_in_flight;
-  BeginTrial(state.m_outages, backend.m_record.data_centre, server, now);
-  backend.m_reading_tokens += forwarding.m_read_tokens;
+  BeginProbe(state.m_outages, backend.m_record.data_centre, server, now);
+  backend.m_pending_prefill_tokens += forwarding.m_read_tokens;
   DispatchFields fields;
   fields.m_server = server;
   if (forwarding.m_workspace != nullptr)
--- a/packages/forward/src/access.cc
+++ b/packages/forward/src/eligibility.cc
@@ -14,8 +14,8 @@
 }
 
 /// Without what an instance only believes of a server.
-ServerStanding PlainStanding(const ForwarderState& state, const Backend& backend, Instant now) {
-  ServerStanding standing;
+EligibilityInputs PlainStanding(const ForwarderState& state, const Backend& backend, Instant now) {
+  EligibilityInputs standing;
   standing.m_leaving = backend.m_leaving;
   standing.m_evacuated = IsEvacuated(state, backend);
   standing.m_backs_off = now < backend.m_back_off_until;
@@ -24,19 +24,20 @@
 }
 
 /// `kept`: whether a roll-out keeps the server from work.
-ServerBar BarIf(const ForwarderState& state,
-                const Forwarding& forwarding,
-                const Backend& backend,
-                bool kept,
-                Instant now) {
-  ServerStanding standing = PlainStanding(state, backend, now);
+IneligibleReason BarIf(const ForwarderState& state,
+                       const Forwarding& forwarding,
+                       const Backend& backend,
+                       bool kept,
+                       Instant now) {
+  EligibilityInputs standing = PlainStanding(state, backend, now);
   standing.m_leaving = backend.m_leaving || backend.m_replaced;
   standing.m_kept_by_rollout = kept;
   standing.m_cold_full =
-      IsCold(backend.m_ramp, now) &&
-      !MaySendAlone(backend.m_ramp, ColdLimitOf(state, backend.m_record.pool), now);
+      IsCold(backend.m_slow_start, now) &&
+      !MaySendWithoutBroker(backend.m_slow_start, ColdLimitOf(state, backend.m_record.pool), now);
   standing.m_suspect = IsSuspectAlone(state, backend, now);
-  return BarFor(standing, forwarding.m_homes, Tried(forwarding, backend.m_record.id));
+  return CheckEligibility(standing, forwarding.m_home_regions,
+                          Tried(forwarding, backend.m_record.id));
 }
 
 /// True if the server does ordinary work that this request may be part of, now or a little later.
@@ -46,34 +47,34 @@
               Instant now) {
   if (backend.m_record.held_back)
     return false;
-  const ServerBar bar = BarIf(state, forwarding, backend, false, now);
-  return bar != ServerBar::kLeaving && bar != ServerBar::kEvacuated &&
-         bar != ServerBar::kOutsideHome;
+  const IneligibleReason reason = BarIf(state, forwarding, backend, false, now);
+  return reason != IneligibleReason::kLeaving && reason != IneligibleReason::kEvacuated &&
+         reason != IneligibleReason::kOutsideHome;
 }
 
 }  // namespace
 
-ServerBar BarOf(const ForwarderState& state,
-                const Forwarding& forwarding,
-                const Backend& backend,
-                Instant now) {
+IneligibleReason CheckServerEligibility(const ForwarderState& state,
+                                        const Forwarding& forwarding,
+                                        const Backend& backend,
+                                        Instant now) {
   // A version on trial gets work from the broker only, which keeps count of it.
   return BarIf(state, forwarding, backend, backend.m_record.held_back, now);
 }
 
-ServerBar BarOnSend(const ForwarderState& state,
-                    const Forwarding& forwarding,
-                    const Backend& backend,
-                    Instant now) {
-  return BarFor(PlainStanding(state, backend, now), forwarding.m_homes, false);
+IneligibleReason CheckEligibilityOnSend(const ForwarderState& state,
+                                        const Forwarding& forwarding,
+                                        const Backend& backend,
+                                        Instant now) {
+  return CheckEligibility(PlainStanding(state, backend, now), forwarding.m_home_regions, false);
 }
 
 bool IsSuspectAlone(const ForwarderState& state, const Backend& backend, Instant now) {
   const std::string& data_centre = backend.m_record.data_centre;
   const std::string& server = backend.m_record.id;
-  const bool lost = IsLost(state.m_outages, data_centre, server) &&
-                    !MayTry(state.m_outages, data_centre, server, now);
-  return lost || Avoided(backend.m_health, now);
+  const bool lost = IsServerSuspect(state.m_outages, data_centre, server) &&
+                    !MayProbe(state.m_outages, data_centre, server, now);
+  return lost || IsEjected(backend.m_health, now);
 }
 
 void UseLastResorts(const ForwarderState& state,
@@ -87,8 +88,8 @@
   for (std::size_t i = 0; i < ids.size(); ++i) {
     const Backend& backend = state.m_backends.at(ids[i]);
     const bool kept = backend.m_record.held_back && any_works;
-    const ServerBar bar = BarIf(state, forwarding, backend, kept, now);
-    views[i].m_usable = bar == ServerBar::kNone || bar == ServerBar::kSuspect;
+    const IneligibleReason reason = BarIf(state, forwarding, backend, kept, now);
+    views[i].m_usable = reason == IneligibleReason::kNone || reason == IneligibleReason::kSuspect;
   }
 }
 
--- a/packages/forward/src/evacuation.cc
+++ b/packages/forward/src/evacuation.cc
@@ -48,7 +48,7 @@
     return;
   const Instant now = ReadClock();
   for (auto& [id, backend] : state.m_backends)
-    TakeColdNews(state, backend, false, now);
+    UpdateSlowStart(state, backend, false, now);
   for (const auto& [name, pool] : state.m_pools)
     ServeQueue(state, name);
 }
@@ -67,7 +67,7 @@
     const Backend& backend = state.m_backends.at(id);
     const std::string_view region =
         RegionOf(state.m_settings.m_regions, backend.m_record.data_centre);
-    if (backend.m_replaced || !ServesAtHome(forwarding.m_homes, region))
+    if (backend.m_replaced || !IsInHomeRegion(forwarding.m_home_regions, region))
       continue;
     if (!IsEvacuated(state, backend))
       return false;
--- a/packages/forward/src/finish.cc
+++ b/packages/forward/src/finish.cc
@@ -134,7 +134,7 @@
   LogEnd(state, forwarding, code, why);
   EndCall(state, forwarding);
   if (forwarding.m_unsure == 0)
-    RefundAlone(state, forwarding);
+    RefundWithoutBroker(state, forwarding);
   forwarding.m_stage = ForwardingStage::kDone;
   if (forwarding.m_caller.m_req == nullptr)
     state.m_over.push_back(forwarding.m_ref);
@@ -159,7 +159,7 @@
   if (!forwarding.m_server.empty()) {
     if (Backend* backend = FindOwnBackend(state, forwarding)) {
       --backend->m_in_flight;
-      backend->m_reading_tokens -= forwarding.m_read_tokens;
+      backend->m_pending_prefill_tokens -= forwarding.m_read_tokens;
       if (IsEvacuated(state, *backend))
         state.m_connections->Forget(backend->m_place);
     }
--- a/packages/forward/src/homes.cc
+++ b/packages/forward/src/homes.cc
@@ -10,8 +10,8 @@
 
 HomeRegions HomesOf(const Route* route, const Workspace* workspace) {
   const HomeRegions unbound;
-  return CommonHomes(route == nullptr ? unbound : route->m_homes,
-                     workspace == nullptr ? unbound : workspace->m_homes);
+  return CommonHomes(route == nullptr ? unbound : route->m_home_regions,
+                     workspace == nullptr ? unbound : workspace->m_home_regions);
 }
 
 const Workspace* FindByName(const RouteTable& table, const std::string& name) {
@@ -31,7 +31,7 @@
 }
 
 bool BoundToNothing(const HomeRegions& homes) {
-  return homes.m_bound && homes.m_regions.empty();
+  return homes.m_restricted && homes.m_regions.empty();
 }
 
 std::string RegionsText(const HomeRegions& homes) {
@@ -45,7 +45,7 @@
   POPPYWAY_LOG(info, "no_home")
       .Field("request", forwarding.m_request.m_id)
       .Field("route", forwarding.m_route->m_name)
-      .Field("route_homes", RegionsText(forwarding.m_route->m_homes))
+      .Field("route_homes", RegionsText(forwarding.m_route->m_home_regions))
       .Field("workspace", forwarding.m_workspace == nullptr ? "-" : forwarding.m_workspace->m_name)
       .Field("version", state.m_table->m_version);
   Refuse(state, forwarding,
@@ -55,11 +55,11 @@
 
 /// What waits: the broker keeps to the homes that it was told, so it is asked anew.
 void WaitAtNewHomes(ForwarderState& state, Forwarding& forwarding) {
-  if (BoundToNothing(forwarding.m_homes)) {
+  if (BoundToNothing(forwarding.m_home_regions)) {
     RefuseHomeless(state, forwarding);
     return;
   }
-  if (forwarding.m_ask == 0)
+  if (forwarding.m_slot_request == 0)
     return;
   WithdrawAsk(state, forwarding);
   if (state.m_broker.m_active && !IsQuiet(state.m_broker))
@@ -69,8 +69,8 @@
 }  // namespace
 
 Step SetHomes(ForwarderState& state, Forwarding& forwarding) {
-  forwarding.m_homes = HomesOf(forwarding.m_route, forwarding.m_workspace);
-  if (!BoundToNothing(forwarding.m_homes))
+  forwarding.m_home_regions = HomesOf(forwarding.m_route, forwarding.m_workspace);
+  if (!BoundToNothing(forwarding.m_home_regions))
     return Step::kContinue;
   RefuseHomeless(state, forwarding);
   return Step::kEnded;
@@ -91,9 +91,9 @@
     if (!open)
       continue;
     HomeRegions homes = HomesNow(state, *forwarding);
-    if (homes == forwarding->m_homes)
+    if (homes == forwarding->m_home_regions)
       continue;
-    forwarding->m_homes = std::move(homes);
+    forwarding->m_home_regions = std::move(homes);
     changed.push_back(ref);
   }
   if (changed.empty())
@@ -111,7 +111,7 @@
 }
 
 bool NoneAtHome(const ForwarderState& state, const Forwarding& forwarding) {
-  if (!forwarding.m_homes.m_bound)
+  if (!forwarding.m_home_regions.m_restricted)
     return false;
   const auto pool = state.m_pools.find(forwarding.m_pool->m_name);
   if (pool == state.m_pools.end() || pool->second.m_servers.empty())
@@ -119,7 +119,8 @@
   const std::vector<std::string>& servers = pool->second.m_servers;
   return std::none_of(servers.begin(), servers.end(), [&](const std::string& id) {
     const std::string& data_centre = state.m_backends.at(id).m_record.data_centre;
-    return ServesAtHome(forwarding.m_homes, RegionOf(state.m_settings.m_regions, data_centre));
+    return IsInHomeRegion(forwarding.m_home_regions,
+                          RegionOf(state.m_settings.m_regions, data_centre));
   });
 }
 
--- a/packages/forward/src/outage.cc
+++ b/packages/forward/src/outage.cc
@@ -12,17 +12,18 @@
 // nothing to this instance for as long isn't waited for.
 constexpr Duration kLostSilence{300'000};
 
-void LogNews(const OutageNews& news) {
-  const bool one_of_many = news.m_change == OutageChange::kHeard && news.m_back > 1;
-  if (news.m_change == OutageChange::kNone || one_of_many)
+void LogNews(const OutageEvent& event) {
+  const bool one_of_many =
+      event.m_transition == OutageTransition::kServerResponded && event.m_recovered > 1;
+  if (event.m_transition == OutageTransition::kNone || one_of_many)
     return;
-  POPPYWAY_LOG(info, OutageChangeName(news.m_change))
-      .Field("data_centre", news.m_data_centre)
+  POPPYWAY_LOG(info, OutageTransitionName(event.m_transition))
+      .Field("data_centre", event.m_data_centre)
       .Field("told_by", "own")
-      .Field("lost", news.m_lost)
-      .Field("back", news.m_back)
-      .Field("servers", news.m_servers)
-      .Field("after_ms", news.m_quiet.count() / 1000);
+      .Field("lost", event.m_unreachable_servers)
+      .Field("back", event.m_recovered)
+      .Field("servers", event.m_servers)
+      .Field("after_ms", event.m_silence.count() / 1000);
 }
 
 /// True if the call under way is at a lost data centre and has had nothing from its server lately.
@@ -47,9 +48,9 @@
   const Backend* backend = FindBackend(state, forwarding.m_server);
   if (backend == nullptr)
     return;
-  const PathSign sign{backend->m_record.data_centre, forwarding.m_server,
-                      state.m_settings.m_instance, heard, forwarding.m_dispatched};
-  LogNews(Note(state.m_outages, sign, ReadClock()));
+  const ReachabilityReport sign{backend->m_record.data_centre, forwarding.m_server,
+                                state.m_settings.m_instance, heard, forwarding.m_dispatched};
+  LogNews(RecordReport(state.m_outages, sign, ReadClock()));
 }
 
 void WatchServers(ForwarderState& state) {
@@ -74,9 +75,9 @@
 }
 
 void EndSilentCalls(ForwarderState& state, Instant now) {
-  OutageNews news;
-  while (Settle(state.m_outages, now, news))
-    LogNews(news);
+  OutageEvent event;
+  while (EndRecoveredOutage(state.m_outages, now, event))
+    LogNews(event);
   if (state.m_suspects.empty())
     return;
   std::vector<ForwardingRef> silent;
--- a/packages/forward/src/queue.cc
+++ b/packages/forward/src/queue.cc
@@ -28,11 +28,12 @@
 }  // namespace
 
 WaitingOrder OrderOf(const Forwarding& forwarding) noexcept {
-  return {forwarding.m_tier, forwarding.m_route->m_tier, forwarding.m_length, forwarding.m_ref};
+  return {forwarding.m_tier, forwarding.m_route->m_tier, forwarding.m_length_class,
+          forwarding.m_ref};
 }
 
 Duration FirstWait(const Forwarding& forwarding) noexcept {
-  return Scale(forwarding.m_route->m_aim, kWaitShare);
+  return Scale(forwarding.m_route->m_latency_target, kWaitShare);
 }
 
 void PutInQueue(ForwarderState& state, Forwarding& forwarding, Instant until) {
@@ -54,7 +55,7 @@
       it = waiting.erase(it);
       continue;
     }
-    if (forwarding->m_ask != 0) {
+    if (forwarding->m_slot_request != 0) {
       ++it;  // The broker decides.
       continue;
     }
@@ -65,19 +66,20 @@
              "the pool has no server in a home region");
       continue;
     }
-    if (!PayAlone(state, *forwarding, now)) {
+    if (!ChargeQuotaWithoutBroker(state, *forwarding, now)) {
       ++it;
       Refuse(state, *forwarding,
              forwarding->m_unsure > 0 ? ResultCode::kOutcomeUnknown : ResultCode::kQuotaSpent,
              "the workspace has used up its limit");
       continue;
     }
-    const Tier rank = forwarding->m_route->m_tier;
-    const std::optional<std::string> server = ChooseBackend(state, *forwarding, rank > most_urgent);
+    const Tier route_tier = forwarding->m_route->m_tier;
+    const std::optional<std::string> server =
+        ChooseBackend(state, *forwarding, route_tier > most_urgent);
     const bool may = server && StillConfirmed(state, *forwarding, now);
     if (!may) {
       ++without_room;
-      most_urgent = std::min(most_urgent, rank);
+      most_urgent = std::min(most_urgent, route_tier);
       ++it;
       continue;
     }
@@ -95,9 +97,9 @@
         continue;
       // What the broker has is refused by the broker.
       const Instant until =
-          forwarding->m_ask != 0 ? forwarding->m_deadline : forwarding->m_wait_until;
+          forwarding->m_slot_request != 0 ? forwarding->m_deadline : forwarding->m_wait_until;
       const bool nowhere =
-          forwarding->m_ask == 0 &&
+          forwarding->m_slot_request == 0 &&
           (EvacuatedAway(state, *forwarding) || AllBackOff(state, *forwarding, now) > until - now);
       if (now >= until || nowhere)
         expired.push_back(ref);
@@ -109,7 +111,8 @@
       continue;
     const bool any = !state.m_pools[forwarding->m_pool->m_name].m_servers.empty() &&
                      !EvacuatedAway(state, *forwarding);
-    forwarding->m_come_back = AllBackOff(state, *forwarding, now).value_or(forwarding->m_come_back);
+    forwarding->m_estimated_wait =
+        AllBackOff(state, *forwarding, now).value_or(forwarding->m_estimated_wait);
     if (forwarding->m_unsure > 0)
       Refuse(state, *forwarding, ResultCode::kOutcomeUnknown, "no other server had room");
     else
@@ -124,8 +127,8 @@
   const Duration left = forwarding.m_deadline - ReadClock();
   const double spread =
       0.5 + 0.5 * static_cast<double>(state.m_random() >> 11) / 9007199254740992.0;
-  if (forwarding.m_come_back > Duration(0))
-    return std::clamp(Scale(forwarding.m_come_back, 2 * spread), kComeBackLeast,
+  if (forwarding.m_estimated_wait > Duration(0))
+    return std::clamp(Scale(forwarding.m_estimated_wait, 2 * spread), kComeBackLeast,
                       std::max(kComeBackLeast, Scale(left, kComeBackShare)));
   const Duration most = std::min(kComeBackMost, Scale(left, kComeBackShare));
   return std::max(kComeBackLeast, Scale(most, spread));
--- a/packages/forward/src/relay.cc
+++ b/packages/forward/src/relay.cc
@@ -47,10 +47,11 @@
       .Field("resume_after", forwarding.m_events.m_last.value_or(-1));
   EndCall(state, forwarding);
   // A run that may have happened is paid for; the next one is paid for anew.
-  forwarding.m_paid_alone = forwarding.m_paid_alone && forwarding.m_unsure == 0;
+  forwarding.m_charged_without_broker =
+      forwarding.m_charged_without_broker && forwarding.m_unsure == 0;
   const Instant now = ReadClock();
   const Duration patience =
-      forwarding.m_caller.m_started ? forwarding.m_route->m_pause_aim : FirstWait(forwarding);
+      forwarding.m_caller.m_started ? forwarding.m_route->m_gap_target : FirstWait(forwarding);
   PutInQueue(state, forwarding, now + patience);
   ServeQueue(state, forwarding.m_pool->m_name);
 }
@@ -78,12 +79,12 @@
 void NoteFirstEvent(ForwarderState& state, Forwarding& forwarding, Instant now) {
   forwarding.m_first_event = now;
   forwarding.m_report.m_tokens_read = forwarding.m_read_tokens;
-  forwarding.m_report.m_first = std::max(Duration(1), now - forwarding.m_dispatched);
+  forwarding.m_report.m_time_to_first_event = std::max(Duration(1), now - forwarding.m_dispatched);
   if (Backend* backend = FindOwnBackend(state, forwarding)) {
-    backend->m_pace =
-        ObserveFirst(backend->m_pace, forwarding.m_read_tokens,
-                     AtServer(now - forwarding.m_dispatched, RoundTripOf(state, *backend)));
-    backend->m_reading_tokens -= forwarding.m_read_tokens;
+    backend->m_performance = ObserveFirstEvent(
+        backend->m_performance, forwarding.m_read_tokens,
+        TimeAtServer(now - forwarding.m_dispatched, RoundTripOf(state, *backend)));
+    backend->m_pending_prefill_tokens -= forwarding.m_read_tokens;
   }
   forwarding.m_read_tokens = 0;
   TellPlace(state, forwarding, false);
@@ -112,7 +113,7 @@
   }
   if (!forwarding.m_events.m_out_of_order)
     return;
-  NoteHealth(state, forwarding, ServerSign::kBad);
+  NoteHealth(state, forwarding, HealthSignal::kFailure);
   const std::string pool = forwarding.m_pool->m_name;
   Refuse(state, forwarding, ResultCode::kAnswerIncomplete, "events out of order");
   ServeQueue(state, pool);
@@ -126,24 +127,24 @@
   const Instant now = ReadClock();
   const bool failed = IsServerError(forwarding.m_answer.m_status);
   forwarding.m_report.m_failed = failed;
-  NoteHealth(state, forwarding, failed ? ServerSign::kBad : ServerSign::kGood);
+  NoteHealth(state, forwarding, failed ? HealthSignal::kFailure : HealthSignal::kSuccess);
   if (failed)
     return;
-  PlaceReport& report = forwarding.m_report;
+  SlotReport& report = forwarding.m_report;
   report.m_service = now - forwarding.m_dispatched;
   report.m_events = forwarding.m_call_events;
   report.m_span = forwarding.m_last_event - forwarding.m_first_event;
-  report.m_pause = forwarding.m_longest_pause;
+  report.m_longest_pause = forwarding.m_longest_pause;
   if (Backend* backend = FindOwnBackend(state, forwarding)) {
-    backend->m_pace =
-        ObserveService(backend->m_pace, AtServer(report.m_service, RoundTripOf(state, *backend)));
+    backend->m_performance = ObserveService(
+        backend->m_performance, TimeAtServer(report.m_service, RoundTripOf(state, *backend)));
     if (forwarding.m_call_events > 1)
-      backend->m_pace = ObserveEvents(backend->m_pace, forwarding.m_call_events - 1, report.m_span,
-                                      report.m_pause);
+      backend->m_performance = ObserveStream(backend->m_performance, forwarding.m_call_events - 1,
+                                             report.m_span, report.m_longest_pause);
   }
   state.m_tokens_per_event =
-      LearnEventSize(state.m_tokens_per_event, forwarding.m_request.m_expected_tokens,
-                     forwarding.m_call_events, kEventGain);
+      UpdateTokensPerEvent(state.m_tokens_per_event, forwarding.m_request.m_expected_tokens,
+                           forwarding.m_call_events, kEventGain);
 }
 
 }  // namespace
@@ -185,18 +186,18 @@
   NotePath(state, *forwarding, true);
   if (answer.m_other_server) {
     NoteOtherServer(state, forwarding->m_server, *answer.m_other_server);
-    forwarding->m_report.m_sign = ServerSign::kUnreachable;
+    forwarding->m_report.m_health_signal = HealthSignal::kUnreachable;
     OnNotRun(state, *forwarding, "another_server_answered");
     return HeadVerdict::kTake;
   }
   if (answer.m_not_run) {
-    NoteHealth(state, *forwarding, ServerSign::kBad);
+    NoteHealth(state, *forwarding, HealthSignal::kFailure);
     OnNotRun(state, *forwarding, "server_declined");
     return HeadVerdict::kTake;
   }
   const bool unproved = IsSuccess(status) && (!answer.m_signed || !answer.m_id);
   if (unproved) {
-    NoteHealth(state, *forwarding, ServerSign::kBad);
+    NoteHealth(state, *forwarding, HealthSignal::kFailure);
     OnBroken(state, *forwarding, "unsigned_answer");
     return HeadVerdict::kTake;
   }
@@ -204,7 +205,7 @@
                      forwarding->m_reached < forwarding->m_route->m_max_attempts;
   if (again) {
     forwarding->m_report.m_failed = true;
-    NoteHealth(state, *forwarding, ServerSign::kBad);
+    NoteHealth(state, *forwarding, HealthSignal::kFailure);
     if (Withdraw(state.m_pools[forwarding->m_pool->m_name].m_retries)) {
       TryElsewhere(state, *forwarding, "server_error");
       return HeadVerdict::kTake;
@@ -249,7 +250,7 @@
     return;
   const bool half_event = IsEventAnswer(*forwarding) && !forwarding->m_events.m_partial.empty();
   if (half_event) {
-    NoteHealth(state, *forwarding, ServerSign::kBad);
+    NoteHealth(state, *forwarding, HealthSignal::kFailure);
     OnBroken(state, *forwarding, "ended_within_an_event");
     return;
   }
@@ -281,12 +282,12 @@
   if (fault != CallFault::kWithdrawn)
     NotePath(state, *forwarding, false);
   if (!NothingSent(fault)) {
-    NoteHealth(state, *forwarding, ServerSign::kBad);
+    NoteHealth(state, *forwarding, HealthSignal::kFailure);
     OnBroken(state, *forwarding, why);
     return;
   }
   if (fault == CallFault::kNotConnected)
-    NoteHealth(state, *forwarding, ServerSign::kUnreachable);
+    NoteHealth(state, *forwarding, HealthSignal::kUnreachable);
   TryElsewhere(state, *forwarding, why);
 }
 
--- a/packages/forward/src/lives.cc
+++ b/packages/forward/src/restarts.cc
@@ -14,7 +14,8 @@
 constexpr Duration kNewsDelay{1'500'000};
 
 bool IsAtEarlierLife(const Forwarding& forwarding, const Backend& backend) noexcept {
-  return forwarding.m_server_born > 0 && forwarding.m_server_born < backend.m_record.born;
+  return forwarding.m_server_started_ms > 0 &&
+         forwarding.m_server_started_ms < backend.m_record.born;
 }
 
 /// Whoever had the call is gone, and its connection hasn't told.
@@ -47,38 +48,38 @@
   state.m_connections->Forget(backend.m_place);
   backend.m_replaced = false;
   backend.m_in_flight = 0;
-  backend.m_reading_tokens = 0;
+  backend.m_pending_prefill_tokens = 0;
   backend.m_own_before = 0;
   backend.m_health = {};
   backend.m_back_off_until = {};
-  backend.m_says_leaving = false;
+  backend.m_announced_leaving = false;
   backend.m_last_heard = {};
-  backend.m_parts.clear();
+  backend.m_prompt_segments.clear();
   backend.m_life_told = ReadClock();
   state.m_lives_changed = true;
 }
 
-void TakeBirth(ForwarderState& state, const std::string& server, std::int64_t born) {
+void TakeBirth(ForwarderState& state, const std::string& server, std::int64_t started_ms) {
   for (const auto& [ref, forwarding] : state.m_forwardings) {
-    if (forwarding->m_server == server && forwarding->m_server_born == 0)
-      forwarding->m_server_born = born;
+    if (forwarding->m_server == server && forwarding->m_server_started_ms == 0)
+      forwarding->m_server_started_ms = started_ms;
   }
 }
 
 Backend* FindOwnBackend(ForwarderState& state, const Forwarding& forwarding) {
   Backend* backend = FindBackend(state, forwarding.m_server);
-  const bool own = backend != nullptr && backend->m_record.born == forwarding.m_server_born;
+  const bool own = backend != nullptr && backend->m_record.born == forwarding.m_server_started_ms;
   return own ? backend : nullptr;
 }
 
-void HearOfLife(ForwarderState& state, const PlaceAnswer& answer) {
+void HearOfLife(ForwarderState& state, const SlotResponse& answer) {
   const Backend* backend = FindBackend(state, answer.m_server);
-  const bool news = backend != nullptr && answer.m_born > backend->m_record.born &&
+  const bool news = backend != nullptr && answer.m_started_ms > backend->m_record.born &&
                     !answer.m_address.empty() && answer.m_port != 0;
   if (!news)
     return;
   wire::ServerRecord record = backend->m_record;
-  record.born = answer.m_born;
+  record.born = answer.m_started_ms;
   record.address = answer.m_address;
   record.port = answer.m_port;
   record.stage = wire::ServerStage::READY;
@@ -108,9 +109,9 @@
     POPPYWAY_LOG(info, "call_lost")
         .Field("request", forwarding->m_request.m_id)
         .Field("server", forwarding->m_server)
-        .Field("born", forwarding->m_server_born)
+        .Field("born", forwarding->m_server_started_ms)
         .Field("after_ms", (now - forwarding->m_dispatched).count() / 1000);
-    NoteHealth(state, *forwarding, ServerSign::kBad);
+    NoteHealth(state, *forwarding, HealthSignal::kFailure);
     OnBroken(state, *forwarding, "server_restarted");
   }
 }
--- a/packages/forward/src/route_table.cc
+++ b/packages/forward/src/route_table.cc
@@ -132,14 +132,14 @@
 }
 
 HomeRegions CommonHomes(const HomeRegions& route, const HomeRegions& workspace) {
-  if (!route.m_bound)
+  if (!route.m_restricted)
     return workspace;
-  if (!workspace.m_bound)
+  if (!workspace.m_restricted)
     return route;
   HomeRegions common;
-  common.m_bound = true;
+  common.m_restricted = true;
   for (const std::string& region : route.m_regions) {
-    if (ServesAtHome(workspace, region))
+    if (IsInHomeRegion(workspace, region))
       common.m_regions.push_back(region);
   }
   return common;
--- a/packages/forward/src/server_word.cc
+++ b/packages/forward/src/server_notice.cc
@@ -16,22 +16,22 @@
       .Field("field", field);
 }
 
-ServerWord WordOf(const Backend& backend, Instant now) {
-  ServerWord word;
-  word.m_server = backend.m_record.id;
-  word.m_born = backend.m_record.born;
-  word.m_back_off = std::max(Duration(0), backend.m_back_off_until - now);
-  word.m_leaving = backend.m_says_leaving;
-  return word;
+ServerNotice WordOf(const Backend& backend, Instant now) {
+  ServerNotice notice;
+  notice.m_server = backend.m_record.id;
+  notice.m_started_ms = backend.m_record.born;
+  notice.m_back_off = std::max(Duration(0), backend.m_back_off_until - now);
+  notice.m_leaving = backend.m_announced_leaving;
+  return notice;
 }
 
 /// The broker would go on to give this instance places there, each of which costs a request the way
 /// to the broker and back. What is on its way is held back here, at the last look before the first
-/// byte: see `BarOnSend`.
+/// byte: see `CheckEligibilityOnSend`.
 void TellBroker(ForwarderState& state, const Backend& backend, Instant now) {
   if (!state.m_broker.m_active)
     return;
-  state.m_broker.m_outbox.m_words.push_back(WordOf(backend, now));
+  state.m_broker.m_outbox.m_notices.push_back(WordOf(backend, now));
   FlushToBroker(state);
 }
 
@@ -59,7 +59,7 @@
                  Backend& backend,
                  const Forwarding& forwarding,
                  Instant now) {
-  if (backend.m_says_leaving)
+  if (backend.m_announced_leaving)
     return;
   state.m_metrics.Add("poppyway_forward_servers_leaving_total");
   POPPYWAY_LOG(info, "server_leaves")
@@ -67,7 +67,7 @@
       .Field("server", backend.m_record.id)
       .Field("known", backend.m_leaving)
       .Field("in_flight", backend.m_in_flight);
-  backend.m_says_leaving = true;
+  backend.m_announced_leaving = true;
   backend.m_leaving = true;
   IndexPools(state);
   WatchServers(state);
@@ -96,14 +96,14 @@
     TakeBackOff(state, *backend, forwarding, *answer.m_back_off, now);
 }
 
-std::vector<ServerWord> WordsInForce(const ForwarderState& state, Instant now) {
-  std::vector<ServerWord> words;
+std::vector<ServerNotice> WordsInForce(const ForwarderState& state, Instant now) {
+  std::vector<ServerNotice> notices;
   for (const auto& [id, backend] : state.m_backends) {
-    const bool holds = backend.m_says_leaving || now < backend.m_back_off_until;
+    const bool holds = backend.m_announced_leaving || now < backend.m_back_off_until;
     if (holds)
-      words.push_back(WordOf(backend, now));
+      notices.push_back(WordOf(backend, now));
   }
-  return words;
+  return notices;
 }
 
 std::optional<Duration> AllBackOff(const ForwarderState& state,
@@ -114,12 +114,12 @@
     return std::nullopt;
   const std::vector<std::string>& ids = pool->second.m_servers;
   const auto bar_of = [&](std::size_t i) {
-    return BarOf(state, forwarding, state.m_backends.at(ids[i]), now);
+    return CheckServerEligibility(state, forwarding, state.m_backends.at(ids[i]), now);
   };
   const auto left_of = [&](std::size_t i) {
     return state.m_backends.at(ids[i]).m_back_off_until - now;
   };
-  return UntilOneWants(ids.size(), bar_of, left_of);
+  return ShortestBackOff(ids.size(), bar_of, left_of);
 }
 
 }  // namespace poppyway::impl
--- a/packages/forward/src/steps.h
+++ b/packages/forward/src/steps.h
@@ -82,22 +82,26 @@
 /// Sends what has gathered for the broker.
 void FlushToBroker(ForwarderState& state);
 
-// ---- alone.cc: without a broker ----------------------------------------------------------------
+// ---- without_broker.cc: without a broker
+// ----------------------------------------------------------------
 /// Takes the request's cost from this instance's part of the limit; false if it is used up.
-[[nodiscard]] bool PayAlone(ForwarderState& state, Forwarding& forwarding, Instant now);
+[[nodiscard]] bool ChargeQuotaWithoutBroker(ForwarderState& state,
+                                            Forwarding& forwarding,
+                                            Instant now);
 /// Gives it back: no server ran the request.
-void RefundAlone(ForwarderState& state, Forwarding& forwarding);
+void RefundWithoutBroker(ForwarderState& state, Forwarding& forwarding);
 /// Places of a server that this instance may hold in all.
-[[nodiscard]] int PlacesAlone(const ForwarderState& state, const Backend& backend);
+[[nodiscard]] int SlotsWithoutBroker(const ForwarderState& state, const Backend& backend);
 
-// ---- cold.cc: cold servers, as this instance knows of them -------------------------------------
+// ---- slow_start.cc: cold servers, as this instance knows of them
+// -------------------------------------
 /// What the document in force says of cold servers of a pool, with the most they may get.
-[[nodiscard]] ColdLimit ColdLimitOf(const ForwarderState& state, const std::string& pool);
+[[nodiscard]] SlowStartLimit ColdLimitOf(const ForwarderState& state, const std::string& pool);
 /// Takes what a server's record and the orders say. `fresh`: it appeared while this instance
 /// served.
-void TakeColdNews(ForwarderState& state, Backend& backend, bool fresh, Instant now);
+void UpdateSlowStart(ForwarderState& state, Backend& backend, bool fresh, Instant now);
 /// A request to the server ended.
-void NoteColdSign(ForwarderState& state, Backend& backend, ServerSign sign, Instant now);
+void ObserveRestartSign(ForwarderState& state, Backend& backend, HealthSignal sign, Instant now);
 /// This instance is about to choose a server of a pool by itself.
 void BeginColdAlone(ForwarderState& state, const std::string& pool, Instant now);
 /// It chose the server by itself.
@@ -121,14 +125,15 @@
 /// Gives up the call under way and lets the request run elsewhere; false if it may not.
 [[nodiscard]] bool LeaveServer(ForwarderState& state, Forwarding& forwarding, std::string_view why);
 
-// ---- server_word.cc: what servers say of themselves ---------------------------------------------
+// ---- server_notice.cc: what servers say of themselves
+// ---------------------------------------------
 /// Takes what the head of an answer says of its server, whatever request it answers, and tells the
 /// broker.
 void TakeServerWord(ForwarderState& state,
                     const Forwarding& forwarding,
                     const ServerAnswer& answer);
 /// All that servers have said and that still holds, for a broker that knows nothing of it.
-[[nodiscard]] std::vector<ServerWord> WordsInForce(const ForwarderState& state, Instant now);
+[[nodiscard]] std::vector<ServerNotice> WordsInForce(const ForwarderState& state, Instant now);
 /// When the first of the servers that could serve the request wants something again, if all of them
 /// have asked this instance to send nothing for a while.
 [[nodiscard]] std::optional<Duration> AllBackOff(const ForwarderState& state,
@@ -168,7 +173,7 @@
                   const Backend& backend,
                   Duration connect);
 /// Learns from how a request ended at its server, here and for the broker.
-void NoteHealth(ForwarderState& state, Forwarding& forwarding, ServerSign sign);
+void NoteHealth(ForwarderState& state, Forwarding& forwarding, HealthSignal sign);
 /// `found` answered at the place of `meant`.
 void NoteOtherServer(ForwarderState& state, const std::string& meant, const std::string& found);
 
@@ -182,18 +187,19 @@
 /// Sets the counters of requests that still run at evacuated servers.
 void CountEvacuated(ForwarderState& state);
 
-// ---- access.cc: which servers may get a request ------------------------------------------------
+// ---- eligibility.cc: which servers may get a request
+// ------------------------------------------------
 /// What keeps a server from a request, where this instance chooses the server itself.
-[[nodiscard]] ServerBar BarOf(const ForwarderState& state,
-                              const Forwarding& forwarding,
-                              const Backend& backend,
-                              Instant now);
+[[nodiscard]] IneligibleReason CheckServerEligibility(const ForwarderState& state,
+                                                      const Forwarding& forwarding,
+                                                      const Backend& backend,
+                                                      Instant now);
 /// What keeps a request from a server that was chosen a moment ago. Failures since, and what a
 /// roll-out or the broker decided on purpose, don't.
-[[nodiscard]] ServerBar BarOnSend(const ForwarderState& state,
-                                  const Forwarding& forwarding,
-                                  const Backend& backend,
-                                  Instant now);
+[[nodiscard]] IneligibleReason CheckEligibilityOnSend(const ForwarderState& state,
+                                                      const Forwarding& forwarding,
+                                                      const Backend& backend,
+                                                      Instant now);
 /// True if the server failed lately, or its data centre is held to be lost.
 [[nodiscard]] bool IsSuspectAlone(const ForwarderState& state, const Backend& backend, Instant now);
 /// None is free of suspicion: a suspect server is better than none, and so is one on trial if all
@@ -204,18 +210,19 @@
                     std::vector<ServerView>& views,
                     Instant now);
 
-// ---- lives.cc: servers that start again under their id -----------------------------------------
+// ---- restarts.cc: servers that start again under their id
+// -----------------------------------------
 /// True if the record tells of a later life of the server than is known.
 [[nodiscard]] bool IsNewLife(const Backend& known, const wire::ServerRecord& record) noexcept;
 /// Forgets what was known of the server's earlier life. Its record is still that of the earlier
 /// one.
 void BeginLife(ForwarderState& state, Backend& backend, const wire::ServerRecord& record);
 /// Gives calls at a server whose birth is told for the first time that birth.
-void TakeBirth(ForwarderState& state, const std::string& server, std::int64_t born);
+void TakeBirth(ForwarderState& state, const std::string& server, std::int64_t started_ms);
 /// The server of the call under way, if it still lives the life that the call went to.
 [[nodiscard]] Backend* FindOwnBackend(ForwarderState& state, const Forwarding& forwarding);
 /// A place was given at a later life than this instance has heard of: takes it as heard.
-void HearOfLife(ForwarderState& state, const PlaceAnswer& answer);
+void HearOfLife(ForwarderState& state, const SlotResponse& answer);
 /// Ends calls to earlier lives that have been silent for too long.
 void EndLostCalls(ForwarderState& state, Instant now);
 
--- a/packages/gateway/include/poppyway/gateway/impl/exchange.h
+++ b/packages/gateway/include/poppyway/gateway/impl/exchange.h
@@ -60,7 +60,7 @@
   std::string m_model;
   std::int64_t m_prompt_tokens = 1;
   std::vector<std::uint64_t> m_prefixes;
-  std::vector<std::string> m_avoid;
+  std::vector<std::string> m_tried;
   bool m_claimed = false;  ///< The ledger holds our claim.
   Credit m_credit;
   std::unique_ptr<Upstream> m_upstream;
--- a/packages/gateway/src/filter_admit.cc
+++ b/packages/gateway/src/filter_admit.cc
@@ -14,7 +14,7 @@
            "a higher tier needed the place");
   if (admission.m_code == ResultCode::kOk)
     return Verdict::kContinue;
-  Refuse(state, exchange, admission.m_code, admission.m_why);
+  Refuse(state, exchange, admission.m_code, admission.m_reason);
   return Verdict::kSuspended;
 }
 
--- a/packages/gateway/src/filter_route.cc
+++ b/packages/gateway/src/filter_route.cc
@@ -10,7 +10,7 @@
   const Instant now = ReadClock();
   exchange.m_stage = Stage::kWaiting;
   std::optional<Credit> credit =
-      ArriveRequest(pool, ToWaiting(exchange), UsableEngines(state, exchange), now);
+      DispatchOrEnqueue(pool, ToWaiting(exchange), UsableEngines(state, exchange), now);
   if (credit) {
     exchange.m_credit = *credit;
     return Verdict::kContinue;
--- a/packages/gateway/src/pools.cc
+++ b/packages/gateway/src/pools.cc
@@ -19,7 +19,7 @@
   for (const PoolActions::Refusal& refusal : actions.m_refusals) {
     const auto found = state.m_exchanges.find(refusal.m_ref);
     if (found != state.m_exchanges.end() && found->second->m_stage == Stage::kWaiting)
-      Refuse(state, *found->second, refusal.m_code, refusal.m_why);
+      Refuse(state, *found->second, refusal.m_code, refusal.m_reason);
   }
 }
 
@@ -48,7 +48,7 @@
   waiting.m_model = exchange.m_model;
   waiting.m_prompt_tokens = exchange.m_prompt_tokens;
   waiting.m_prefixes = exchange.m_prefixes;
-  waiting.m_avoid = exchange.m_avoid;
+  waiting.m_tried = exchange.m_tried;
   waiting.m_arrived = exchange.m_arrived;
   waiting.m_deadline = exchange.m_deadline;
   return waiting;
@@ -77,8 +77,8 @@
 std::vector<std::string> UsableEngines(GatewayState& state, const Exchange& exchange) {
   std::vector<std::string> usable = AllowedEngines(state, exchange);
   std::erase_if(usable, [&exchange](const std::string& id) {
-    return std::find(exchange.m_avoid.begin(), exchange.m_avoid.end(), id) !=
-           exchange.m_avoid.end();
+    return std::find(exchange.m_tried.begin(), exchange.m_tried.end(), id) !=
+           exchange.m_tried.end();
   });
   return usable;
 }
@@ -91,7 +91,7 @@
 }
 
 void OnGrants(GatewayState& state, const TakeGrants& grants) {
-  Perform(state, AcceptGrants(state.m_pools[grants.m_pool], grants.m_batch, grants.m_lease_end,
+  Perform(state, HandleGrants(state.m_pools[grants.m_pool], grants.m_batch, grants.m_lease_end,
                               ReadClock()));
 }
 
--- a/packages/gateway/src/relay.cc
+++ b/packages/gateway/src/relay.cc
@@ -37,8 +37,8 @@
     exchange.m_first_token = now;
     state.m_metrics.Record("poppyway_first_token_seconds", labels, now - exchange.m_arrived);
     if (IsEventStream(exchange))
-      NoteUse(PoolOf(state, exchange), exchange.m_credit, UseStage::kFirstToken,
-              now - exchange.m_dispatched);
+      RecordUse(PoolOf(state, exchange), exchange.m_credit, UseStage::kFirstToken,
+                now - exchange.m_dispatched);
   } else {
     state.m_metrics.Record("poppyway_between_tokens_seconds", labels, now - exchange.m_last_chunk);
   }
@@ -50,7 +50,7 @@
   PoolClient& pool = PoolOf(state, exchange);
   if (!Withdraw(pool.m_retries))
     return false;
-  exchange.m_avoid.push_back(exchange.m_credit.m_engine);
+  exchange.m_tried.push_back(exchange.m_credit.m_engine);
   exchange.m_credit = {};
   state.m_metrics.Add("poppyway_retries_total",
                       TierAndReason(TierOf(exchange), "connection_failed"));
--- a/packages/policy/include/poppyway/policy.h
+++ b/packages/policy/include/poppyway/policy.h
@@ -16,45 +16,45 @@
 /// - `AdmissionQueue`: the requests that wait in one gateway.
 /// - `CreditBook`: the credits that one gateway holds, and its fair share without a broker.
 /// - `PoolClient`: one gateway's decisions for one pool, over the two above.
-/// - `BarFor`: whether a server may take a request at all, for all who send one.
-/// - `ServerWords`: what a server says of itself: it wants nothing for a while, it leaves.
-/// - `OutageWatch`: which data centres are lost or cut off as a whole.
-/// - `ColdRamp`: what a server may get while it is slow after its start.
+/// - `CheckEligibility`: whether a server may take a request at all, for all who send one.
+/// - `ServerNotices`: what a server says of itself: it wants nothing for a while, it leaves.
+/// - `OutageDetector`: which data centres are lost or cut off as a whole.
+/// - `SlowStartState`: what a server may get while it is slow after its start.
 /// - `ChooseServer`, `ServerHealth`: where a request goes among servers that know no tiers.
-/// - `PlaceBroker`: the one broker of a hosted deployment; gives each request its place.
-/// - `ReachTable`: round trips between regions, learned from connections.
+/// - `SlotBroker`: the one broker of a hosted deployment; gives each request its place.
+/// - `RoundTripTable`: round trips between regions, learned from connections.
 /// - `ServedShares`: who is owed a place since its group was served too seldom.
 /// - `RolloutTrial`: what a version under trial may get, and what its answers say of it.
 /// - `ForecastWait`: when a place comes free.
-/// - `EvenPart`: an instance's part of a server's places while no broker answers.
+/// - `EvenShare`: an instance's part of a server's places while no broker answers.
 /// - `ChooseNewsSource`: from which member an instance reads news.
-/// - `SharedLimit`, `LoneLimit`: a workspace's limit at the broker, and without one.
+/// - `QuotaBucket`, `LocalQuotaBucket`: a workspace's limit at the broker, and without one.
 /// - `RateEstimate`, `RetryBudget`, `RetryAfter`: speed of engines, retries, when to come back.
 
 #include "poppyway/policy/impl/admission_queue.h"
 #include "poppyway/policy/impl/broker.h"
-#include "poppyway/policy/impl/cold_ramp.h"
 #include "poppyway/policy/impl/credit_book.h"
 #include "poppyway/policy/impl/event_size.h"
+#include "poppyway/policy/impl/instance_share.h"
 #include "poppyway/policy/impl/news_source.h"
-#include "poppyway/policy/impl/outage_watch.h"
-#include "poppyway/policy/impl/place_broker.h"
-#include "poppyway/policy/impl/place_flow.h"
-#include "poppyway/policy/impl/place_share.h"
+#include "poppyway/policy/impl/outage_detector.h"
 #include "poppyway/policy/impl/pool_client.h"
 #include "poppyway/policy/impl/prefix_index.h"
+#include "poppyway/policy/impl/quota_bucket.h"
 #include "poppyway/policy/impl/quota_limit.h"
 #include "poppyway/policy/impl/rate_estimate.h"
-#include "poppyway/policy/impl/reach.h"
 #include "poppyway/policy/impl/retry_after.h"
 #include "poppyway/policy/impl/retry_budget.h"
 #include "poppyway/policy/impl/rollout_trial.h"
-#include "poppyway/policy/impl/served_share.h"
-#include "poppyway/policy/impl/server_access.h"
+#include "poppyway/policy/impl/round_trip_table.h"
 #include "poppyway/policy/impl/server_choice.h"
+#include "poppyway/policy/impl/server_eligibility.h"
 #include "poppyway/policy/impl/server_health.h"
-#include "poppyway/policy/impl/server_word.h"
-#include "poppyway/policy/impl/shared_limit.h"
+#include "poppyway/policy/impl/server_notice.h"
 #include "poppyway/policy/impl/shed_floor.h"
+#include "poppyway/policy/impl/slot_broker.h"
+#include "poppyway/policy/impl/slot_turnover.h"
+#include "poppyway/policy/impl/slow_start.h"
+#include "poppyway/policy/impl/starvation_guard.h"
 #include "poppyway/policy/impl/tier.h"
 #include "poppyway/policy/impl/wait_estimate.h"
--- a/packages/policy/include/poppyway/policy/impl/admission_queue.h
+++ b/packages/policy/include/poppyway/policy/impl/admission_queue.h
@@ -26,7 +26,7 @@
   std::string m_model;
   std::int64_t m_prompt_tokens = 0;
   std::vector<std::uint64_t> m_prefixes;  ///< Hashes of growing prompt prefixes.
-  std::vector<std::string> m_avoid;       ///< Engines that already refused the connection.
+  std::vector<std::string> m_tried;       ///< Engines that already refused the connection.
   Instant m_arrived{};
   Instant m_deadline{};
 
@@ -47,7 +47,7 @@
   /// The newest request of the lowest waiting tier below `tier`, or nullopt.
   [[nodiscard]] std::optional<RequestRef> LowestBelow(Tier tier) const;
   /// References whose deadline, less the time that serving still takes, has passed.
-  [[nodiscard]] std::vector<RequestRef> Unreachable(Instant now, Duration service) const;
+  [[nodiscard]] std::vector<RequestRef> Infeasible(Instant now, Duration service) const;
   [[nodiscard]] const TierCounts& counts() const noexcept { return m_counts; }
   [[nodiscard]] std::size_t size() const noexcept { return m_requests.size(); }
 
--- a/packages/policy/include/poppyway/policy/impl/broker.h
+++ b/packages/policy/include/poppyway/policy/impl/broker.h
@@ -56,7 +56,7 @@
 struct GrantBatch {
   std::string m_gateway;
   std::vector<Credit> m_credits;
-  std::vector<RequestRef> m_unreachable;  ///< Requests whose deadline no engine can meet.
+  std::vector<RequestRef> m_infeasible;  ///< Requests whose deadline no engine can meet.
   Tier m_floor = kTiers;
   std::int64_t m_floor_epoch = 0;
   bool m_contended = false;  ///< Standing credits that are unspent go back.
@@ -70,7 +70,7 @@
   Duration m_lease{3'000'000};
   Duration m_lease_margin{500'000};
   double m_fallback_rate = 8000;         ///< Prefill tokens a second before any observation.
-  double m_standing_share = 0.25;        ///< Part of all slots that stands with gateways.
+  double m_pregranted_share = 0.25;      ///< Part of all slots that stands with gateways.
   std::int64_t m_standing_tokens = 512;  ///< Prompt tokens that a standing credit pays for.
   std::size_t m_prefix_capacity = 512;   ///< Prefix hashes remembered for each engine.
   double m_long_share = 0.125;           ///< A prompt over this share of a budget is long.
@@ -118,7 +118,7 @@
   std::int64_t m_floor_ack = 0;
   std::vector<WaitingRequest> m_items;
   TierCounts m_waiting{};
-  int m_standing = 0;
+  int m_pregranted = 0;
 };
 
 /// \brief Which engines (by id) may serve an event's request for a model.
@@ -158,9 +158,9 @@
                    EligibleFn eligible);
 
 /// \brief Takes one gateway's message; returns what to send, to it and to others.
-[[nodiscard]] std::vector<GrantBatch> TakeDemand(Broker& broker,
-                                                 const GatewayDemand& demand,
-                                                 Instant now);
+[[nodiscard]] std::vector<GrantBatch> HandleDemand(Broker& broker,
+                                                   const GatewayDemand& demand,
+                                                   Instant now);
 
 /// \brief To be called every few milliseconds: expiry, floor, grants.
 [[nodiscard]] std::vector<GrantBatch> TickBroker(Broker& broker, Instant now);
@@ -198,7 +198,7 @@
 void GrantWaiting(Broker& broker, Instant now, std::map<std::string, GrantBatch>& batches);
 
 /// \brief Tops up standing credits where nothing waits.
-void GrantStanding(Broker& broker, Instant now, std::map<std::string, GrantBatch>& batches);
+void GrantPregranted(Broker& broker, Instant now, std::map<std::string, GrantBatch>& batches);
 
 }  // namespace impl
 }  // namespace poppyway
--- a/packages/policy/include/poppyway/policy/impl/credit_book.h
+++ b/packages/policy/include/poppyway/policy/impl/credit_book.h
@@ -13,9 +13,9 @@
 
 /// \brief What one gateway holds of one pool: credits, their lease, and its requests in flight.
 struct CreditBook {
-  std::map<CreditId, Credit> m_standing;   ///< Unspent standing credits.
-  std::map<CreditId, Credit> m_spent;      ///< Credits of requests in flight.
-  std::map<std::string, int> m_in_flight;  ///< By engine, with or without a credit.
+  std::map<CreditId, Credit> m_pregranted;  ///< Unspent standing credits.
+  std::map<CreditId, Credit> m_spent;       ///< Credits of requests in flight.
+  std::map<std::string, int> m_in_flight;   ///< By engine, with or without a credit.
   Instant m_lease_end{};
   std::int64_t m_next_own = 1;  ///< Counts dispatches by fair share.
   int m_gateways = 1;           ///< Gateways that shared the pool when last heard.
@@ -23,10 +23,10 @@
 
 /// \brief Takes an unspent standing credit that pays for `prompt_tokens` on one of `engines`.
 /// Precondition: none. Nothing is taken once the lease has ended.
-[[nodiscard]] std::optional<Credit> TakeStanding(CreditBook& book,
-                                                 const std::vector<std::string>& engines,
-                                                 std::int64_t prompt_tokens,
-                                                 Instant now);
+[[nodiscard]] std::optional<Credit> TakePregranted(CreditBook& book,
+                                                   const std::vector<std::string>& engines,
+                                                   std::int64_t prompt_tokens,
+                                                   Instant now);
 
 /// \brief Records a dispatch on `credit`.
 void NoteDispatch(CreditBook& book, const Credit& credit);
@@ -35,7 +35,7 @@
 void NoteEnd(CreditBook& book, const Credit& credit);
 
 /// \brief Gives up all unspent standing credits; returns their ids for the broker.
-[[nodiscard]] std::vector<CreditId> DropStanding(CreditBook& book);
+[[nodiscard]] std::vector<CreditId> DropPregranted(CreditBook& book);
 
 /// \brief Without a broker: an engine on which this gateway is still under its fair share.
 ///
--- a/packages/policy/include/poppyway/policy/impl/event_size.h
+++ b/packages/policy/include/poppyway/policy/impl/event_size.h
@@ -12,9 +12,9 @@
 /// zero: nothing was. \param expected_tokens of the whole answer; zero or less says nothing. \param
 /// events of the whole answer; zero or less says nothing. \param gain share of the new sample, 0
 /// to 1.
-[[nodiscard]] double LearnEventSize(double known,
-                                    std::int64_t expected_tokens,
-                                    std::int64_t events,
-                                    double gain) noexcept;
+[[nodiscard]] double UpdateTokensPerEvent(double known,
+                                          std::int64_t expected_tokens,
+                                          std::int64_t events,
+                                          double gain) noexcept;
 
 }  // namespace poppyway
--- a/packages/policy/include/poppyway/policy/impl/place_share.h
+++ b/packages/policy/include/poppyway/policy/impl/instance_share.h
@@ -14,11 +14,11 @@
 /// nobody's work, eight instances took all engines for idle: 21 requests were at an engine of 15
 /// places on average, 55 at most; with even parts 13 and 18, under the same load and fault.
 /// \param turn differs by instance and server: spreads what doesn't divide evenly.
-[[nodiscard]] int EvenPart(int places, int instances, std::uint64_t turn) noexcept;
+[[nodiscard]] int EvenShare(int places, int instances, std::uint64_t turn) noexcept;
 
 /// \brief The most instances that were counted of late.
 struct InstanceCount {
-  int m_most = 1;
+  int m_recent_max = 1;
   Instant m_counted{};
 
   friend bool operator==(const InstanceCount&, const InstanceCount&) = default;
--- a/packages/policy/include/poppyway/policy/impl/news_source.h
+++ b/packages/policy/include/poppyway/policy/impl/news_source.h
@@ -15,7 +15,7 @@
 /// \brief A member that an instance may read the configuration and the servers from.
 struct NewsSource {
   std::string m_data_centre;  ///< Empty: not known yet.
-  Instant m_avoid_until{};    ///< It lagged or didn't answer.
+  Instant m_ejected_until{};  ///< It lagged or didn't answer.
 
   friend bool operator==(const NewsSource&, const NewsSource&) = default;
 };
--- a/packages/policy/include/poppyway/policy/impl/pool_client.h
+++ b/packages/policy/include/poppyway/policy/impl/pool_client.h
@@ -46,7 +46,7 @@
 /// \brief What `AdmitRequest` decided.
 struct Admission {
   ResultCode m_code = ResultCode::kOk;  ///< Anything else refuses the newcomer.
-  std::string m_why;
+  std::string m_reason;
   std::optional<RequestRef> m_evict;  ///< A lower tier's request that has to make room.
 };
 
@@ -59,7 +59,7 @@
   struct Refusal {
     RequestRef m_ref = 0;
     ResultCode m_code = ResultCode::kOk;
-    std::string m_why;
+    std::string m_reason;
   };
   std::vector<Dispatch> m_dispatches;  ///< Already taken out of the queue.
   std::vector<Refusal> m_refusals;     ///< Still in the queue; the caller removes them.
@@ -76,13 +76,13 @@
 
 /// \brief Takes a standing credit on one of `engines` where nothing else waits; otherwise queues
 /// the request. \return the credit to dispatch with, or nullopt if it waits.
-[[nodiscard]] std::optional<Credit> ArriveRequest(PoolClient& pool,
-                                                  WaitingRequest request,
-                                                  const std::vector<std::string>& engines,
-                                                  Instant now);
+[[nodiscard]] std::optional<Credit> DispatchOrEnqueue(PoolClient& pool,
+                                                      WaitingRequest request,
+                                                      const std::vector<std::string>& engines,
+                                                      Instant now);
 
 /// \brief Takes the broker's word; its credits may be spent until `lease_end`.
-[[nodiscard]] PoolActions AcceptGrants(PoolClient& pool,
+[[nodiscard]] PoolActions HandleGrants(PoolClient& pool,
                                        const GrantBatch& batch,
                                        Instant lease_end,
                                        Instant now);
@@ -101,7 +101,7 @@
                                                      Instant now);
 
 /// \brief Records a use of a credit, to be told to the broker.
-void NoteUse(PoolClient& pool, const Credit& credit, UseStage stage, Duration elapsed);
+void RecordUse(PoolClient& pool, const Credit& credit, UseStage stage, Duration elapsed);
 
 /// \brief A dispatch ended. Its credit goes back, or, while the broker is silent and the lease
 /// still runs, serves the next request: the broker counts it as out either way.
--- a/packages/policy/include/poppyway/policy/impl/quota_limit.h
+++ b/packages/policy/include/poppyway/policy/impl/quota_limit.h
@@ -30,6 +30,7 @@
 
 /// \brief The limit that is aimed at: some of the tolerance is used, so that what is below the
 /// operator's limit isn't refused for the time that a request takes to reach its server.
-[[nodiscard]] QuotaLimit Loosen(const QuotaLimit& limit, const QuotaTolerance& tolerance) noexcept;
+[[nodiscard]] QuotaLimit WithTolerance(const QuotaLimit& limit,
+                                       const QuotaTolerance& tolerance) noexcept;
 
 }  // namespace poppyway
--- a/packages/policy/include/poppyway/policy/impl/rollout_trial.h
+++ b/packages/policy/include/poppyway/policy/impl/rollout_trial.h
@@ -28,9 +28,9 @@
   bool m_target = false;  ///< Of the version under trial, else of another one.
   RouteKey m_route = 0;
   std::string m_server;
-  bool m_failed = false;  ///< An answer with a failure.
-  bool m_cut = false;     ///< No whole answer: broken off, unreachable, unsigned.
-  double m_pace_ms = 0;   ///< Of one event of a stream, or of a plain answer; zero: not known.
+  bool m_failed = false;    ///< An answer with a failure.
+  bool m_cut = false;       ///< No whole answer: broken off, unreachable, unsigned.
+  double m_latency_ms = 0;  ///< Of one event of a stream, or of a plain answer; zero: not known.
 
   friend bool operator==(const VersionSample&, const VersionSample&) = default;
 };
@@ -92,19 +92,19 @@
 };
 
 /// \brief Where the log says that a roll-out stands.
-struct TrialStart {
+struct TrialCheckpoint {
   std::int64_t m_number = 0;
   std::string m_target;
   bool m_moving = false;
   std::int64_t m_requests = 0;
   std::int64_t m_allowed = 0;
 
-  friend bool operator==(const TrialStart&, const TrialStart&) = default;
+  friend bool operator==(const TrialCheckpoint&, const TrialCheckpoint&) = default;
 };
 
 /// \brief A trial that continues there. What an earlier leader saw is not known, so all that it
 /// allowed counts as sent.
-[[nodiscard]] RolloutTrial BeginTrial(const TrialStart& start, const ExposureBounds& bounds);
+[[nodiscard]] RolloutTrial BeginTrial(const TrialCheckpoint& start, const ExposureBounds& bounds);
 
 /// \brief How many requests the target may have got by now, by the bounds less a margin for
 /// requests that never reach a server.
@@ -139,7 +139,7 @@
 enum class RolloutDecision : std::uint8_t { kWait, kMove, kComplete, kRollBack };
 
 /// \brief What decides it.
-struct RolloutView {
+struct RolloutInputs {
   bool m_moving = false;
   TrialFinding m_finding = TrialFinding::kTooLittle;
   bool m_others_left = true;  ///< Servers of other versions still take work, or would.
@@ -156,6 +156,7 @@
 /// roll-out is completed once the others are idle or the time that an acknowledgement takes is
 /// left. Without enough evidence by then it is rolled back: an unknown version with all of the work
 /// could break the bound on exposure, a good one that is rolled back costs another order.
-[[nodiscard]] RolloutDecision Decide(const RolloutView& view, std::string_view& why) noexcept;
+[[nodiscard]] RolloutDecision DecideRollout(const RolloutInputs& view,
+                                            std::string_view& why) noexcept;
 
 }  // namespace poppyway
--- a/packages/policy/include/poppyway/policy/impl/server_access.h
+++ b/packages/policy/include/poppyway/policy/impl/server_eligibility.h
@@ -11,7 +11,7 @@
 
 /// \brief Why a backend server may not take a request now. Of several reasons the first one below
 /// is given.
-enum class ServerBar : std::uint8_t {
+enum class IneligibleReason : std::uint8_t {
   kNone,         ///< It may.
   kLeaving,      ///< It said so, is gone, or a later one took its address.
   kEvacuated,    ///< An operator ordered that its data centre gets nothing new.
@@ -24,27 +24,27 @@
 };
 
 /// \brief Text for logs and counters.
-[[nodiscard]] std::string_view ServerBarName(ServerBar bar) noexcept;
+[[nodiscard]] std::string_view IneligibleReasonName(IneligibleReason reason) noexcept;
 
 /// \brief True if only the server's state at the moment, or nothing, keeps the request from it.
-[[nodiscard]] bool MayTakeLater(ServerBar bar) noexcept;
+[[nodiscard]] bool MayBecomeEligible(IneligibleReason reason) noexcept;
 
 /// \brief What of a server decides whether it may take requests.
-struct ServerStanding {
+struct EligibilityInputs {
   bool m_leaving = false;
   bool m_evacuated = false;
   bool m_kept_by_rollout = false;
   bool m_backs_off = false;  ///< From the instance that sends the request.
-  bool m_cold_full = false;  ///< See `ColdRamp`.
+  bool m_cold_full = false;  ///< See `SlowStartState`.
   bool m_suspect = false;
   std::string_view m_region;  ///< Empty: not known.
 
-  friend bool operator==(const ServerStanding&, const ServerStanding&) = default;
+  friend bool operator==(const EligibilityInputs&, const EligibilityInputs&) = default;
 };
 
 /// \brief Regions in which a request may be served.
 struct HomeRegions {
-  bool m_bound = false;                ///< False: any region may serve it.
+  bool m_restricted = false;           ///< False: any region may serve it.
   std::vector<std::string> m_regions;  ///< Bound and empty: none may.
 
   friend bool operator==(const HomeRegions&, const HomeRegions&) = default;
@@ -52,13 +52,13 @@
 
 /// \brief True if a server of `region` may serve what has these homes. A server whose region isn't
 /// known may serve only what isn't bound.
-[[nodiscard]] bool ServesAtHome(const HomeRegions& homes, std::string_view region) noexcept;
+[[nodiscard]] bool IsInHomeRegion(const HomeRegions& homes, std::string_view region) noexcept;
 
 /// \brief The one answer to whether a server may take a request: for the broker, for instances that
 /// decide alone, for retries and for resumed streams. Pure; any thread.
 /// \param tried the request was sent there before.
-[[nodiscard]] ServerBar BarFor(const ServerStanding& server,
-                               const HomeRegions& homes,
-                               bool tried) noexcept;
+[[nodiscard]] IneligibleReason CheckEligibility(const EligibilityInputs& server,
+                                                const HomeRegions& homes,
+                                                bool tried) noexcept;
 
 }  // namespace poppyway
--- a/packages/policy/include/poppyway/policy/impl/server_health.h
+++ b/packages/policy/include/poppyway/policy/impl/server_health.h
@@ -9,34 +9,34 @@
 /// \brief What answers say about a backend server's health.
 struct ServerHealth {
   int m_failures = 0;         ///< In a row.
-  double m_failed_share = 0;  ///< Of recent requests, smoothed.
-  Instant m_avoid_until{};    ///< No new work before, unless too little else is left.
-  Instant m_trial_until{};    ///< A single request tries it out; no other goes there before.
+  double m_failure_rate = 0;  ///< Of recent requests, smoothed.
+  Instant m_ejected_until{};  ///< No new work before, unless too little else is left.
+  Instant m_probe_until{};    ///< A single request tries it out; no other goes there before.
 
   friend bool operator==(const ServerHealth&, const ServerHealth&) = default;
 };
 
 /// \brief How a request to a server ended, as far as its health goes.
-enum class ServerSign : std::uint8_t {
-  kGood,         ///< A whole answer.
-  kBad,          ///< A failure of its own, a broken answer, a reset.
+enum class HealthSignal : std::uint8_t {
+  kSuccess,      ///< A whole answer.
+  kFailure,      ///< A failure of its own, a broken answer, a reset.
   kUnreachable,  ///< No connection, or silence.
 };
 
 /// \brief Learns from one request. A single bad answer changes nothing but the share; several in a
 /// row, or no connection, keep new work away for a time that doubles up to a bound.
 [[nodiscard]] ServerHealth Observe(const ServerHealth& health,
-                                   ServerSign sign,
+                                   HealthSignal sign,
                                    Instant now) noexcept;
 
 /// \brief True if new work should go elsewhere where it can.
-[[nodiscard]] bool Avoided(const ServerHealth& health, Instant now) noexcept;
+[[nodiscard]] bool IsEjected(const ServerHealth& health, Instant now) noexcept;
 
 /// \brief True if the server was avoided and has given no good answer since: it is tried out with
 /// one request at a time.
-[[nodiscard]] bool OnTrial(const ServerHealth& health) noexcept;
+[[nodiscard]] bool IsHalfOpen(const ServerHealth& health) noexcept;
 
 /// \brief The health once a request is sent to a server on trial.
-[[nodiscard]] ServerHealth BeginTrial(const ServerHealth& health, Instant now) noexcept;
+[[nodiscard]] ServerHealth BeginProbe(const ServerHealth& health, Instant now) noexcept;
 
 }  // namespace poppyway
--- a/packages/policy/include/poppyway/policy/impl/place_flow.h
+++ b/packages/policy/include/poppyway/policy/impl/slot_turnover.h
@@ -11,19 +11,23 @@
 namespace poppyway {
 
 /// \brief How fast a pool's places come free and are asked for, over about the last second.
-struct PlaceFlow {
+struct SlotTurnover {
   double m_freed = 0;                    ///< Decayed count.
   double m_held_s = 0;                   ///< Decayed sum of how long those places were held.
   std::array<double, kTiers> m_asked{};  ///< Decayed counts, by the route's tier.
   Instant m_at{};
 
-  friend bool operator==(const PlaceFlow&, const PlaceFlow&) = default;
+  friend bool operator==(const SlotTurnover&, const SlotTurnover&) = default;
 };
 
 /// \brief The flow with one more place freed that was held for `held`.
-[[nodiscard]] PlaceFlow CountFreed(const PlaceFlow& flow, Duration held, Instant now) noexcept;
+[[nodiscard]] SlotTurnover CountFreed(const SlotTurnover& flow,
+                                      Duration held,
+                                      Instant now) noexcept;
 /// \brief The flow with one more request that asks for a place.
-[[nodiscard]] PlaceFlow CountAsked(const PlaceFlow& flow, Tier rank, Instant now) noexcept;
+[[nodiscard]] SlotTurnover CountAsked(const SlotTurnover& flow,
+                                      Tier route_tier,
+                                      Instant now) noexcept;
 
 /// \brief When a request of this rank gets a place that must first come free: `ahead` of it wait
 /// already, and what is more urgent goes on to arrive as of late and goes first. A request that
@@ -33,8 +37,8 @@
 /// come to by how long places are held (Little's law): after a calm second the rate of late says
 /// too little of what a full pool frees. \return nullopt while too few places have come free to
 /// tell.
-[[nodiscard]] std::optional<Duration> ForecastWait(const PlaceFlow& flow,
-                                                   Tier rank,
+[[nodiscard]] std::optional<Duration> ForecastWait(const SlotTurnover& flow,
+                                                   Tier route_tier,
                                                    int ahead,
                                                    int taken) noexcept;
 
--- a/packages/policy/include/poppyway/policy/impl/served_share.h
+++ b/packages/policy/include/poppyway/policy/impl/starvation_guard.h
@@ -16,8 +16,8 @@
 
 /// \brief The groups that a place request belongs to.
 struct ShareGroup {
-  Tier m_rank = 0;
-  int m_length = 0;         ///< Of its expected answer, by class.
+  Tier m_route_tier = 0;
+  int m_length_class = 0;   ///< Of its expected answer, by class.
   std::string m_workspace;  ///< Empty: it has none.
 
   friend bool operator==(const ShareGroup&, const ShareGroup&) = default;
@@ -56,6 +56,6 @@
 /// while they are served under `kFloor` as often as the pool's requests together, and a length
 /// class while it is served under `kLengthFloor` as often as its rank. A rank is owed none while
 /// something more urgent is served less often than it: the floor never turns the order round.
-[[nodiscard]] bool OwedPlace(const ServedShares& shares, const ShareGroup& group);
+[[nodiscard]] bool IsOwedSlot(const ServedShares& shares, const ShareGroup& group);
 
 }  // namespace poppyway
--- a/packages/policy/src/admission_queue.cc
+++ b/packages/policy/src/admission_queue.cc
@@ -60,7 +60,7 @@
   return std::nullopt;
 }
 
-std::vector<RequestRef> AdmissionQueue::Unreachable(Instant now, Duration service) const {
+std::vector<RequestRef> AdmissionQueue::Infeasible(Instant now, Duration service) const {
   std::vector<RequestRef> refs;
   for (const auto& [ref, request] : m_requests) {
     if (now + service >= request.m_deadline)
--- a/packages/policy/src/broker.cc
+++ b/packages/policy/src/broker.cc
@@ -108,7 +108,7 @@
     if (credit.m_ref != 0)
       broker.m_by_ref[{demand.m_gateway, credit.m_ref}] = credit.m_id;
     else
-      ++broker.m_gateways[demand.m_gateway].m_standing;
+      ++broker.m_gateways[demand.m_gateway].m_pregranted;
     broker.m_credits.emplace(credit.m_id, adopted);
   }
 }
@@ -160,7 +160,7 @@
     batches[answer_to];
   if (!Recovering(broker, now)) {
     impl::GrantWaiting(broker, now, batches);
-    impl::GrantStanding(broker, now, batches);
+    impl::GrantPregranted(broker, now, batches);
   }
   // What still waits after granting: only that is contention.
   const TierCounts backlog = Backlog(broker);
@@ -194,7 +194,7 @@
     broker.m_by_ref.erase({issued.m_gateway, issued.m_ref});
   const auto gateway = broker.m_gateways.find(issued.m_gateway);
   if (issued.m_ref == 0 && gateway != broker.m_gateways.end())
-    --gateway->second.m_standing;
+    --gateway->second.m_pregranted;
   broker.m_credits.erase(credit);
 }
 
@@ -271,7 +271,7 @@
   broker.m_eligible = std::move(eligible);
 }
 
-std::vector<GrantBatch> TakeDemand(Broker& broker, const GatewayDemand& demand, Instant now) {
+std::vector<GrantBatch> HandleDemand(Broker& broker, const GatewayDemand& demand, Instant now) {
   BrokerGateway& gateway = broker.m_gateways[demand.m_gateway];
   gateway.m_expires = now + broker.m_settings.m_lease + broker.m_settings.m_lease_margin;
   gateway.m_floor_ack = std::max(gateway.m_floor_ack, demand.m_floor_ack);
--- a/packages/policy/src/broker_grant.cc
+++ b/packages/policy/src/broker_grant.cc
@@ -93,8 +93,8 @@
     const BrokerEngine& engine = broker.m_engines[e];
     if (!HasSlot(engine, now) || round.m_reserved[e])
       continue;
-    const bool avoided = std::find(request.m_avoid.begin(), request.m_avoid.end(),
-                                   engine.m_budget.m_id) != request.m_avoid.end();
+    const bool avoided = std::find(request.m_tried.begin(), request.m_tried.end(),
+                                   engine.m_budget.m_id) != request.m_tried.end();
     if (avoided)
       continue;
     const std::int64_t cached =
@@ -228,7 +228,7 @@
     GrantBatch& batch = batches[*candidate.m_gateway];
     const Duration first_token(static_cast<std::int64_t>(choice.m_first_token_s * 1e6));
     if (now + first_token > request.m_deadline) {
-      batch.m_unreachable.push_back(request.m_ref);
+      batch.m_infeasible.push_back(request.m_ref);
     } else {
       batch.m_credits.push_back(
           IssueCredit(broker, *candidate.m_gateway, request, *choice.m_engine, now));
@@ -248,21 +248,21 @@
   DropGranted(broker, settled);
 }
 
-void GrantStanding(Broker& broker, Instant now, std::map<std::string, GrantBatch>& batches) {
+void GrantPregranted(Broker& broker, Instant now, std::map<std::string, GrantBatch>& batches) {
   const TierCounts backlog = Backlog(broker);
   if (backlog[0] + backlog[1] + backlog[2] > 0 || broker.m_gateways.empty())
     return;
   double slots = 0;
   for (const BrokerEngine& engine : broker.m_engines)
     slots += engine.m_withdrawn ? 0 : static_cast<double>(engine.m_budget.m_slots);
-  const int share = static_cast<int>(broker.m_settings.m_standing_share * slots /
+  const int share = static_cast<int>(broker.m_settings.m_pregranted_share * slots /
                                      static_cast<double>(broker.m_gateways.size()));
   WaitingRequest standing;
   standing.m_prompt_tokens = broker.m_settings.m_standing_tokens;
   for (auto& [name, gateway] : broker.m_gateways) {
     // Start at a different engine for each gateway, so that standing credits spread.
     std::size_t at = Hash(name) % std::max<std::size_t>(1, broker.m_engines.size());
-    for (std::size_t tried = 0; gateway.m_standing < share && tried < broker.m_engines.size();
+    for (std::size_t tried = 0; gateway.m_pregranted < share && tried < broker.m_engines.size();
          ++tried, at = (at + 1) % broker.m_engines.size()) {
       BrokerEngine& engine = broker.m_engines[at];
       const bool half_free = engine.m_used_slots * 2 < engine.m_budget.m_slots;
@@ -270,7 +270,7 @@
         continue;
       batches[name].m_credits.push_back(
           IssueCredit(broker, name, standing, static_cast<std::uint32_t>(at), now));
-      ++gateway.m_standing;
+      ++gateway.m_pregranted;
     }
   }
 }
--- a/packages/policy/src/credit_book.cc
+++ b/packages/policy/src/credit_book.cc
@@ -6,27 +6,27 @@
 
 namespace poppyway {
 
-std::optional<Credit> TakeStanding(CreditBook& book,
-                                   const std::vector<std::string>& engines,
-                                   std::int64_t prompt_tokens,
-                                   Instant now) {
+std::optional<Credit> TakePregranted(CreditBook& book,
+                                     const std::vector<std::string>& engines,
+                                     std::int64_t prompt_tokens,
+                                     Instant now) {
   if (now >= book.m_lease_end)
     return std::nullopt;
-  auto best = book.m_standing.end();
-  for (auto it = book.m_standing.begin(); it != book.m_standing.end(); ++it) {
+  auto best = book.m_pregranted.end();
+  for (auto it = book.m_pregranted.begin(); it != book.m_pregranted.end(); ++it) {
     const Credit& credit = it->second;
     const bool usable = credit.m_prompt_tokens >= prompt_tokens &&
                         std::find(engines.begin(), engines.end(), credit.m_engine) != engines.end();
     if (!usable)
       continue;
-    if (best == book.m_standing.end() ||
+    if (best == book.m_pregranted.end() ||
         book.m_in_flight[credit.m_engine] < book.m_in_flight[best->second.m_engine])
       best = it;
   }
-  if (best == book.m_standing.end())
+  if (best == book.m_pregranted.end())
     return std::nullopt;
   Credit credit = best->second;
-  book.m_standing.erase(best);
+  book.m_pregranted.erase(best);
   return credit;
 }
 
@@ -42,11 +42,11 @@
   book.m_spent.erase(credit.m_id);
 }
 
-std::vector<CreditId> DropStanding(CreditBook& book) {
+std::vector<CreditId> DropPregranted(CreditBook& book) {
   std::vector<CreditId> ids;
-  for (const auto& [id, credit] : book.m_standing)
+  for (const auto& [id, credit] : book.m_pregranted)
     ids.push_back(id);
-  book.m_standing.clear();
+  book.m_pregranted.clear();
   return ids;
 }
 
@@ -81,7 +81,7 @@
 
 std::vector<Credit> HeldCredits(const CreditBook& book) {
   std::vector<Credit> held;
-  for (const auto& [id, credit] : book.m_standing)
+  for (const auto& [id, credit] : book.m_pregranted)
     held.push_back(credit);
   for (const auto& [id, credit] : book.m_spent)
     held.push_back(credit);
--- a/packages/policy/src/event_size.cc
+++ b/packages/policy/src/event_size.cc
@@ -6,10 +6,10 @@
 
 namespace poppyway {
 
-double LearnEventSize(double known,
-                      std::int64_t expected_tokens,
-                      std::int64_t events,
-                      double gain) noexcept {
+double UpdateTokensPerEvent(double known,
+                            std::int64_t expected_tokens,
+                            std::int64_t events,
+                            double gain) noexcept {
   if (expected_tokens <= 0 || events <= 0)
     return known;
   const double sample =
--- a/packages/policy/src/news_source.cc
+++ b/packages/policy/src/news_source.cc
@@ -28,7 +28,7 @@
   std::vector<std::size_t> nearest;
   int least = kAvoided + 1;
   for (std::size_t i = 0; i < sources.size(); ++i) {
-    const bool avoided = now < sources[i].m_avoid_until;
+    const bool avoided = now < sources[i].m_ejected_until;
     const int distance = avoided ? kAvoided : DistanceOf(sources[i], regions, reader);
     if (distance > least)
       continue;
--- a/packages/policy/src/pool_client.cc
+++ b/packages/policy/src/pool_client.cc
@@ -53,11 +53,11 @@
                         Instant now,
                         PoolActions& actions) {
   for (const WaitingRequest* head : pool.m_queue.Heads(kMaxItems)) {
-    if (pool.m_book.m_standing.empty())
+    if (pool.m_book.m_pregranted.empty())
       return;
     const RequestRef ref = head->m_ref;
     std::optional<Credit> credit =
-        TakeStanding(pool.m_book, IdsOf(budgets(*head)), head->m_prompt_tokens, now);
+        TakePregranted(pool.m_book, IdsOf(budgets(*head)), head->m_prompt_tokens, now);
     if (!credit)
       continue;
     (void)pool.m_queue.Remove(ref);
@@ -118,7 +118,7 @@
 void TakeGrant(PoolClient& pool, const Credit& credit, Instant now, PoolActions& actions) {
   const WaitingRequest* request = pool.m_queue.Find(credit.m_ref);
   if (request == nullptr || TooLateToStart(pool, *request, now)) {
-    NoteUse(pool, credit, UseStage::kReturned, Duration(0));
+    RecordUse(pool, credit, UseStage::kReturned, Duration(0));
     if (request != nullptr)
       actions.m_refusals.push_back(
           {credit.m_ref, ResultCode::kDeadlineUnreachable, "too little time is left to serve it"});
@@ -156,12 +156,13 @@
   return {ResultCode::kOk, "", lowest};
 }
 
-std::optional<Credit> ArriveRequest(PoolClient& pool,
-                                    WaitingRequest request,
-                                    const std::vector<std::string>& engines,
-                                    Instant now) {
+std::optional<Credit> DispatchOrEnqueue(PoolClient& pool,
+                                        WaitingRequest request,
+                                        const std::vector<std::string>& engines,
+                                        Instant now) {
   if (!pool.m_contended && pool.m_queue.size() == 0) {
-    std::optional<Credit> credit = TakeStanding(pool.m_book, engines, request.m_prompt_tokens, now);
+    std::optional<Credit> credit =
+        TakePregranted(pool.m_book, engines, request.m_prompt_tokens, now);
     if (credit) {
       NoteDispatch(pool.m_book, *credit);
       return credit;
@@ -173,7 +174,7 @@
   return std::nullopt;
 }
 
-PoolActions AcceptGrants(PoolClient& pool,
+PoolActions HandleGrants(PoolClient& pool,
                          const GrantBatch& batch,
                          Instant lease_end,
                          Instant now) {
@@ -192,18 +193,18 @@
   PoolActions actions;
   for (const Credit& credit : batch.m_credits) {
     if (credit.m_ref == 0)
-      pool.m_book.m_standing[credit.m_id] = credit;
+      pool.m_book.m_pregranted[credit.m_id] = credit;
     else
       TakeGrant(pool, credit, now, actions);
   }
-  for (const RequestRef ref : batch.m_unreachable) {
+  for (const RequestRef ref : batch.m_infeasible) {
     if (pool.m_queue.Find(ref) != nullptr)
       actions.m_refusals.push_back(
           {ref, ResultCode::kDeadlineUnreachable, "no engine can answer before the deadline"});
   }
   if (pool.m_contended) {
-    for (const CreditId id : DropStanding(pool.m_book))
-      NoteUse(pool, Credit{id, 0, "", 0}, UseStage::kReturned, Duration(0));
+    for (const CreditId id : DropPregranted(pool.m_book))
+      RecordUse(pool, Credit{id, 0, "", 0}, UseStage::kReturned, Duration(0));
   }
   return actions;
 }
@@ -252,7 +253,7 @@
   return demand;
 }
 
-void NoteUse(PoolClient& pool, const Credit& credit, UseStage stage, Duration elapsed) {
+void RecordUse(PoolClient& pool, const Credit& credit, UseStage stage, Duration elapsed) {
   pool.m_uses.push_back({credit.m_id, stage, elapsed});
   pool.m_dirty = true;
 }
@@ -266,12 +267,12 @@
   const bool keep = stage == UseStage::kFinished && credit.m_id > 0 && BrokerIsSilent(pool, now) &&
                     now < pool.m_book.m_lease_end;
   if (!keep) {
-    NoteUse(pool, credit, stage, elapsed);
+    RecordUse(pool, credit, stage, elapsed);
     return;
   }
   Credit standing = credit;
   standing.m_ref = 0;
-  pool.m_book.m_standing[standing.m_id] = standing;
+  pool.m_book.m_pregranted[standing.m_id] = standing;
 }
 
 void LearnService(PoolClient& pool, const std::string& event, Duration service) {
--- a/packages/policy/src/rollout_trial.cc
+++ b/packages/policy/src/rollout_trial.cc
@@ -185,7 +185,7 @@
   return Duration(static_cast<std::int64_t>(factor * static_cast<double>(duration.count())));
 }
 
-Duration MoveTime(const RolloutView& view) noexcept {
+Duration MoveTime(const RolloutInputs& view) noexcept {
   const Duration most = std::min(kMoveMost, Scale(view.m_duration, kMoveShare));
   return std::clamp(Scale(view.m_service, kMoveAnswers), std::min(kMoveLeast, most), most);
 }
@@ -208,7 +208,7 @@
   return "unknown";
 }
 
-RolloutTrial BeginTrial(const TrialStart& start, const ExposureBounds& bounds) {
+RolloutTrial BeginTrial(const TrialCheckpoint& start, const ExposureBounds& bounds) {
   RolloutTrial trial;
   trial.m_number = start.m_number;
   trial.m_target = start.m_target;
@@ -249,7 +249,7 @@
 void Learn(RolloutTrial& trial, const VersionSample& sample, Instant now) {
   ServerEvidence& server =
       (sample.m_target ? trial.m_target_servers : trial.m_other_servers)[sample.m_server];
-  const bool slow = LearnPaceOf(server, sample.m_pace_ms);
+  const bool slow = LearnPaceOf(server, sample.m_latency_ms);
   const bool bad = sample.m_failed || sample.m_cut || slow;
   if (!sample.m_target) {
     RouteEvidence& evidence = trial.m_other_routes[sample.m_route];
@@ -282,7 +282,7 @@
   return InDoubt(trial) ? TrialFinding::kDoubtful : TrialFinding::kGood;
 }
 
-RolloutDecision Decide(const RolloutView& view, std::string_view& why) noexcept {
+RolloutDecision DecideRollout(const RolloutInputs& view, std::string_view& why) noexcept {
   if (IsBad(view.m_finding)) {
     why = TrialFindingName(view.m_finding);
     return RolloutDecision::kRollBack;
--- a/packages/policy/src/reach.cc
+++ b/packages/policy/src/round_trip_table.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-void ObserveConnect(ReachTable& table,
+void ObserveConnect(RoundTripTable& table,
                     std::string_view from,
                     std::string_view to,
                     Duration connect) {
@@ -40,14 +40,14 @@
       Duration(static_cast<std::int64_t>(gain * static_cast<double>((sample - known).count())));
 }
 
-Duration RoundTrip(const ReachTable& table, std::string_view from, std::string_view to) {
+Duration RoundTrip(const RoundTripTable& table, std::string_view from, std::string_view to) {
   if (!Apart(from, to))
     return Duration(0);
   const auto found = table.m_round_trips.find(PairOf(from, to));
   return found == table.m_round_trips.end() ? Duration(0) : found->second;
 }
 
-RoundTrips RoundTripsFrom(const ReachTable& table, std::string_view from) {
+RoundTrips RoundTripsFrom(const RoundTripTable& table, std::string_view from) {
   RoundTrips trips;
   for (const auto& [pair, trip] : table.m_round_trips) {
     if (pair.first == from)
--- a/packages/policy/src/server_choice.cc
+++ b/packages/policy/src/server_choice.cc
@@ -51,11 +51,12 @@
   return typical > 0 ? typical : fallback;
 }
 
-double QueueMs(const ServerView& server, const ServerPace& typical) noexcept {
-  const int ahead = server.m_own + server.m_others - server.m_slots + 1;
+double QueueMs(const ServerView& server, const ServerPerformance& typical) noexcept {
+  const int ahead = server.m_own_in_flight + server.m_other_in_flight - server.m_slots + 1;
   if (ahead <= 0)
     return 0;
-  const double service = Known(server.m_pace.m_service_ms, typical.m_service_ms, kDefaultServiceMs);
+  const double service =
+      Known(server.m_performance.m_service_ms, typical.m_service_ms, kDefaultServiceMs);
   return ahead * service / std::max(1, server.m_slots);
 }
 
@@ -66,31 +67,32 @@
 /// Until the first event leaves the server, from when the request has reached it.
 double WorkMs(const ServerView& server,
               const RequestShape& request,
-              const ServerPace& typical) noexcept {
+              const ServerPerformance& typical) noexcept {
   const double queue = QueueMs(server, typical);
   if (request.m_prompt_tokens == 0)
-    return queue + Known(server.m_pace.m_service_ms, typical.m_service_ms, kDefaultServiceMs);
-  const double rate =
-      Known(server.m_pace.m_tokens_per_ms, typical.m_tokens_per_ms, kDefaultTokensPerMs);
+    return queue +
+           Known(server.m_performance.m_service_ms, typical.m_service_ms, kDefaultServiceMs);
+  const double rate = Known(server.m_performance.m_prefill_tokens_per_ms,
+                            typical.m_prefill_tokens_per_ms, kDefaultTokensPerMs);
   const std::int64_t own =
-      std::max<std::int64_t>(0, request.m_prompt_tokens - server.m_kept_tokens);
-  return queue + kFixedFirstMs + static_cast<double>(server.m_reading_tokens + own) / rate;
+      std::max<std::int64_t>(0, request.m_prompt_tokens - server.m_cached_tokens);
+  return queue + kFixedFirstMs + static_cast<double>(server.m_pending_prefill_tokens + own) / rate;
 }
 
 double FirstMs(const ServerView& server,
                const RequestShape& request,
-               const ServerPace& typical) noexcept {
+               const ServerPerformance& typical) noexcept {
   return WorkMs(server, request, typical) + Ms(server.m_round_trip);
 }
 
 /// As if nothing else were at work there.
 double FirstAloneMs(const ServerView& server,
                     const RequestShape& request,
-                    const ServerPace& typical) noexcept {
+                    const ServerPerformance& typical) noexcept {
   ServerView idle = server;
-  idle.m_reading_tokens = 0;
-  idle.m_own = 0;
-  idle.m_others = 0;
+  idle.m_pending_prefill_tokens = 0;
+  idle.m_own_in_flight = 0;
+  idle.m_other_in_flight = 0;
   return FirstMs(idle, request, typical);
 }
 
@@ -104,55 +106,58 @@
 
 }  // namespace
 
-Duration PredictFirst(const ServerView& server,
-                      const RequestShape& request,
-                      const ServerPace& typical) noexcept {
+Duration PredictTimeToFirstEvent(const ServerView& server,
+                                 const RequestShape& request,
+                                 const ServerPerformance& typical) noexcept {
   return FromMs(FirstMs(server, request, typical));
 }
 
-Duration PredictAlone(const ServerView& server,
-                      const RequestShape& request,
-                      const ServerPace& typical) noexcept {
+Duration PredictUnloadedTimeToFirstEvent(const ServerView& server,
+                                         const RequestShape& request,
+                                         const ServerPerformance& typical) noexcept {
   return FromMs(FirstAloneMs(server, request, typical));
 }
 
 namespace {
 
 /// Added to a prediction for streams that would likely be late after their first event.
-double RiskMs(const ServerView& server, const RequestShape& request, const ServerPace& typical) {
-  if (request.m_pause_aim <= Duration(0))
+double RiskMs(const ServerView& server,
+              const RequestShape& request,
+              const ServerPerformance& typical) {
+  if (request.m_gap_target <= Duration(0))
     return 0;
-  const double pause = Known(server.m_pace.m_pause_ms, typical.m_pause_ms, 0);
-  const double over = (pause / Ms(request.m_pause_aim) - kRiskFrom) / (1 - kRiskFrom);
+  const double pause = Known(server.m_performance.m_pause_ms, typical.m_pause_ms, 0);
+  const double over = (pause / Ms(request.m_gap_target) - kRiskFrom) / (1 - kRiskFrom);
   const double length = request.m_events > 0 ? std::min(1.0, request.m_events / kRiskEvents) : 1;
   double risk = std::clamp(over, 0.0, 1.0) * length;
-  const double event = Known(server.m_pace.m_event_ms, typical.m_event_ms, 0);
+  const double event =
+      Known(server.m_performance.m_event_interval_ms, typical.m_event_interval_ms, 0);
   const bool misses = request.m_left > Duration(0) &&
                       request.m_events * event > kDeadlineShare * Ms(request.m_left);
   if (misses)
     risk += kLateEndWeight;
-  return risk * Ms(request.m_aim);
+  return risk * Ms(request.m_latency_target);
 }
 
 }  // namespace
 
 bool HasRoom(const ServerView& server,
              const RequestShape& request,
-             const ServerPace& typical) noexcept {
+             const ServerPerformance& typical) noexcept {
   constexpr std::size_t kLowest = std::size(kQueueShare) - 1;
   const double share = kQueueShare[std::min<std::size_t>(
       static_cast<std::size_t>(std::max(0, static_cast<int>(request.m_tier))), kLowest)];
-  const double aim = Ms(request.m_aim);
+  const double aim = Ms(request.m_latency_target);
   // What is more urgent found no room: only what it can't use is left to others.
-  const int at_work = server.m_own + server.m_others;
-  if (request.m_yields && at_work >= kYieldShare * server.m_slots)
+  const int at_work = server.m_own_in_flight + server.m_other_in_flight;
+  if (request.m_yields_to_higher_priority && at_work >= kYieldShare * server.m_slots)
     return false;
   const double queue = QueueMs(server, typical);
   if (queue > share * aim)
     return false;
   if (request.m_prompt_tokens == 0)
     return true;
-  if (at_work >= server.m_slots || server.m_open <= 0)
+  if (at_work >= server.m_slots || server.m_available_slots <= 0)
     return false;
   const double left = kInTimeShare * (aim - Ms(request.m_waited));
   const double first = FirstMs(server, request, typical);
@@ -162,51 +167,52 @@
   return alone > left && first - alone <= kAheadShare * aim;
 }
 
-bool Suits(const ServerView& server,
-           const RequestShape& request,
-           const ServerPace& typical) noexcept {
+bool CanMeetTargets(const ServerView& server,
+                    const RequestShape& request,
+                    const ServerPerformance& typical) noexcept {
   const bool plain = request.m_prompt_tokens == 0;
   if (plain && server.m_round_trip == Duration(0))
     return true;
   const double first = FirstAloneMs(server, request, typical);
   if (plain)
-    return first <= kInTimeShare * Ms(request.m_aim);
-  if (first > kReadShare * Ms(request.m_aim))
+    return first <= kInTimeShare * Ms(request.m_latency_target);
+  if (first > kReadShare * Ms(request.m_latency_target))
     return false;
-  const double event = Known(server.m_pace.m_event_ms, typical.m_event_ms, 0);
+  const double event =
+      Known(server.m_performance.m_event_interval_ms, typical.m_event_interval_ms, 0);
   const double end = first + request.m_events * event;
   return request.m_left <= Duration(0) || end <= kDeadlineShare * Ms(request.m_left);
 }
 
-bool AnySuits(std::span<const ServerView> servers,
-              const RequestShape& request,
-              const ServerPace& typical) noexcept {
+bool AnyCanMeetTargets(std::span<const ServerView> servers,
+                       const RequestShape& request,
+                       const ServerPerformance& typical) noexcept {
   return std::any_of(servers.begin(), servers.end(), [&](const ServerView& server) {
-    return server.m_usable && Suits(server, request, typical);
+    return server.m_usable && CanMeetTargets(server, request, typical);
   });
 }
 
 std::optional<ServerChoice> ChooseServer(std::span<const ServerView> servers,
                                          const RequestShape& request,
-                                         const ServerPace& typical,
+                                         const ServerPerformance& typical,
                                          std::uint64_t random) {
   std::optional<ServerChoice> best;
   double best_ms = 0;
   std::uint64_t equals = 0;
-  const bool any_suits = AnySuits(servers, request, typical);
+  const bool any_suits = AnyCanMeetTargets(servers, request, typical);
   for (std::size_t i = 0; i < servers.size(); ++i) {
     const ServerView& server = servers[i];
     if (!server.m_usable || !HasRoom(server, request, typical))
       continue;
-    if (any_suits && !Suits(server, request, typical))
+    if (any_suits && !CanMeetTargets(server, request, typical))
       continue;
     const double work = WorkMs(server, request, typical);
     const double way = Ms(server.m_round_trip);
     // A loaded batch slows every token, so a busy server has to be ahead by more than a free one.
-    const double filled =
-        static_cast<double>(server.m_own + server.m_others) / std::max(1, server.m_slots);
+    const double filled = static_cast<double>(server.m_own_in_flight + server.m_other_in_flight) /
+                          std::max(1, server.m_slots);
     const double ms = work * (1 + filled) + way + RiskMs(server, request, typical) +
-                      FarShare(server) * Ms(request.m_aim);
+                      FarShare(server) * Ms(request.m_latency_target);
     if (best && ms > best_ms + kTieMs)
       continue;
     const bool tie = best && ms >= best_ms - kTieMs;
@@ -221,59 +227,60 @@
   return best;
 }
 
-ServerPace TypicalPace(std::span<const ServerView> servers) noexcept {
-  ServerPace sum;
+ServerPerformance AveragePerformance(std::span<const ServerView> servers) noexcept {
+  ServerPerformance sum;
   int rates = 0;
   int events = 0;
   int services = 0;
   int pauses = 0;
   for (const ServerView& server : servers) {
-    sum.m_tokens_per_ms += server.m_pace.m_tokens_per_ms;
-    sum.m_event_ms += server.m_pace.m_event_ms;
-    sum.m_service_ms += server.m_pace.m_service_ms;
-    sum.m_pause_ms += server.m_pace.m_pause_ms;
-    rates += server.m_pace.m_tokens_per_ms > 0 ? 1 : 0;
-    events += server.m_pace.m_event_ms > 0 ? 1 : 0;
-    services += server.m_pace.m_service_ms > 0 ? 1 : 0;
-    pauses += server.m_pace.m_pause_ms > 0 ? 1 : 0;
+    sum.m_prefill_tokens_per_ms += server.m_performance.m_prefill_tokens_per_ms;
+    sum.m_event_interval_ms += server.m_performance.m_event_interval_ms;
+    sum.m_service_ms += server.m_performance.m_service_ms;
+    sum.m_pause_ms += server.m_performance.m_pause_ms;
+    rates += server.m_performance.m_prefill_tokens_per_ms > 0 ? 1 : 0;
+    events += server.m_performance.m_event_interval_ms > 0 ? 1 : 0;
+    services += server.m_performance.m_service_ms > 0 ? 1 : 0;
+    pauses += server.m_performance.m_pause_ms > 0 ? 1 : 0;
   }
-  sum.m_tokens_per_ms /= std::max(1, rates);
-  sum.m_event_ms /= std::max(1, events);
+  sum.m_prefill_tokens_per_ms /= std::max(1, rates);
+  sum.m_event_interval_ms /= std::max(1, events);
   sum.m_service_ms /= std::max(1, services);
   sum.m_pause_ms /= std::max(1, pauses);
   return sum;
 }
 
-ServerPace ObserveFirst(const ServerPace& pace,
-                        std::int64_t tokens_read,
-                        Duration elapsed) noexcept {
+ServerPerformance ObserveFirstEvent(const ServerPerformance& pace,
+                                    std::int64_t tokens_read,
+                                    Duration elapsed) noexcept {
   if (tokens_read < kLeastTokens || Ms(elapsed) > kLongestSampleMs)
     return pace;
-  ServerPace after = pace;
+  ServerPerformance after = pace;
   const double sample =
       static_cast<double>(tokens_read) / std::max(1.0, Ms(elapsed) - kFixedFirstMs);
-  after.m_tokens_per_ms =
-      Blend(pace.m_tokens_per_ms, sample, sample > pace.m_tokens_per_ms ? kGainUp : kGainDown);
+  after.m_prefill_tokens_per_ms =
+      Blend(pace.m_prefill_tokens_per_ms, sample,
+            sample > pace.m_prefill_tokens_per_ms ? kGainUp : kGainDown);
   return after;
 }
 
-ServerPace ObserveEvents(const ServerPace& pace,
-                         std::int64_t events,
-                         Duration span,
-                         Duration pause) noexcept {
+ServerPerformance ObserveStream(const ServerPerformance& pace,
+                                std::int64_t events,
+                                Duration span,
+                                Duration pause) noexcept {
   if (events <= 0)
     return pace;
-  ServerPace after = pace;
+  ServerPerformance after = pace;
   const double sample = Ms(span) / static_cast<double>(events);
-  after.m_event_ms = Blend(pace.m_event_ms, sample, kEventGain);
+  after.m_event_interval_ms = Blend(pace.m_event_interval_ms, sample, kEventGain);
   after.m_pause_ms = Blend(pace.m_pause_ms, Ms(pause),
                            Ms(pause) > pace.m_pause_ms ? kPauseGainUp : kPauseGainDown);
   return after;
 }
 
-ServerPace ObserveService(const ServerPace& pace, Duration elapsed) noexcept {
+ServerPerformance ObserveService(const ServerPerformance& pace, Duration elapsed) noexcept {
   constexpr double kGain = 0.1;
-  ServerPace after = pace;
+  ServerPerformance after = pace;
   after.m_service_ms = Blend(pace.m_service_ms, Ms(elapsed), kGain);
   return after;
 }
--- /dev/null
+++ b/packages/policy/src/server_eligibility.cc
@@ -0,0 +1,67 @@
+// SPDX-License-Identifier: MIT
+// Part of poppyway, a request scheduler for unlike engines.
+#include <algorithm>
+
+#include "poppyway/policy.h"
+
+namespace poppyway {
+
+std::string_view IneligibleReasonName(IneligibleReason reason) noexcept {
+  switch (reason) {
+    case IneligibleReason::kNone:
+      return "none";
+    case IneligibleReason::kLeaving:
+      return "leaving";
+    case IneligibleReason::kEvacuated:
+      return "evacuated";
+    case IneligibleReason::kOutsideHome:
+      return "outside_home";
+    case IneligibleReason::kRollout:
+      return "rollout";
+    case IneligibleReason::kTried:
+      return "tried";
+    case IneligibleReason::kBackOff:
+      return "back_off";
+    case IneligibleReason::kCold:
+      return "cold";
+    case IneligibleReason::kSuspect:
+      return "suspect";
+  }
+  return "unknown";
+}
+
+bool MayBecomeEligible(IneligibleReason reason) noexcept {
+  return reason == IneligibleReason::kNone || reason == IneligibleReason::kBackOff ||
+         reason == IneligibleReason::kCold || reason == IneligibleReason::kSuspect;
+}
+
+bool IsInHomeRegion(const HomeRegions& homes, std::string_view region) noexcept {
+  if (!homes.m_restricted)
+    return true;
+  return std::any_of(homes.m_regions.begin(), homes.m_regions.end(),
+                     [region](const std::string& home) { return home == region; });
+}
+
+IneligibleReason CheckEligibility(const EligibilityInputs& server,
+                                  const HomeRegions& homes,
+                                  bool tried) noexcept {
+  if (server.m_leaving)
+    return IneligibleReason::kLeaving;
+  if (server.m_evacuated)
+    return IneligibleReason::kEvacuated;
+  if (!IsInHomeRegion(homes, server.m_region))
+    return IneligibleReason::kOutsideHome;
+  if (server.m_kept_by_rollout)
+    return IneligibleReason::kRollout;
+  if (tried)
+    return IneligibleReason::kTried;
+  // Before all that is only believed of a server: its own wish is kept even where every server of
+  // the pool asks for it and the request has to be refused.
+  if (server.m_backs_off)
+    return IneligibleReason::kBackOff;
+  if (server.m_cold_full)
+    return IneligibleReason::kCold;
+  return server.m_suspect ? IneligibleReason::kSuspect : IneligibleReason::kNone;
+}
+
+}  // namespace poppyway
--- a/packages/policy/src/server_health.cc
+++ b/packages/policy/src/server_health.cc
@@ -20,38 +20,38 @@
 
 }  // namespace
 
-ServerHealth Observe(const ServerHealth& health, ServerSign sign, Instant now) noexcept {
+ServerHealth Observe(const ServerHealth& health, HealthSignal sign, Instant now) noexcept {
   ServerHealth after = health;
-  after.m_trial_until = {};
-  const double sample = sign == ServerSign::kGood ? 0 : 1;
-  after.m_failed_share += kGain * (sample - health.m_failed_share);
-  if (sign == ServerSign::kGood) {
+  after.m_probe_until = {};
+  const double sample = sign == HealthSignal::kSuccess ? 0 : 1;
+  after.m_failure_rate += kGain * (sample - health.m_failure_rate);
+  if (sign == HealthSignal::kSuccess) {
     after.m_failures = 0;
-    after.m_avoid_until = {};
+    after.m_ejected_until = {};
     return after;
   }
   ++after.m_failures;
-  const bool avoid = sign == ServerSign::kUnreachable || after.m_failures >= kBadInRow ||
-                     after.m_failed_share > kBadShare;
+  const bool avoid = sign == HealthSignal::kUnreachable || after.m_failures >= kBadInRow ||
+                     after.m_failure_rate > kBadShare;
   if (!avoid)
     return after;
   const int doublings = std::clamp(after.m_failures - kBadInRow, 0, kMostDoublings);
   const Duration span = std::min<Duration>(kFirstAvoid * (1 << doublings), kLongestAvoid);
-  after.m_avoid_until = std::max(health.m_avoid_until, now + span);
+  after.m_ejected_until = std::max(health.m_ejected_until, now + span);
   return after;
 }
 
-bool Avoided(const ServerHealth& health, Instant now) noexcept {
-  return now < health.m_avoid_until || now < health.m_trial_until;
+bool IsEjected(const ServerHealth& health, Instant now) noexcept {
+  return now < health.m_ejected_until || now < health.m_probe_until;
 }
 
-bool OnTrial(const ServerHealth& health) noexcept {
-  return health.m_failures > 0 && health.m_avoid_until != Instant{};
+bool IsHalfOpen(const ServerHealth& health) noexcept {
+  return health.m_failures > 0 && health.m_ejected_until != Instant{};
 }
 
-ServerHealth BeginTrial(const ServerHealth& health, Instant now) noexcept {
+ServerHealth BeginProbe(const ServerHealth& health, Instant now) noexcept {
   ServerHealth after = health;
-  after.m_trial_until = now + kTrialTime;
+  after.m_probe_until = now + kTrialTime;
   return after;
 }
 
--- /dev/null
+++ b/packages/policy/src/slot_broker.cc
@@ -0,0 +1,439 @@
+// SPDX-License-Identifier: MIT
+// Part of poppyway, a request scheduler for unlike engines.
+#include <algorithm>
+#include <cmath>
+
+#include "slot_internal.h"
+
+namespace poppyway {
+namespace {
+
+// After a change of broker instances find the new one within some heartbeats; who is silent for
+// longer holds little that others could run into.
+constexpr Duration kResyncTime{1'000'000};
+constexpr double kEventGain = 0.02;          // Of the size of events: some fifty answers back.
+constexpr Duration kHeardLately{1'200'000};  // Two heartbeats and some delay.
+
+/// The pool and index of a server; a null pool if it is not known (any more).
+std::pair<SlotPool*, std::size_t> FindServer(SlotBroker& broker, const std::string& id) {
+  const auto found = broker.m_server_index.find(id);
+  if (found == broker.m_server_index.end())
+    return {nullptr, 0};
+  return {&broker.m_pools[found->second.first], found->second.second};
+}
+
+/// True if `started_ms` is the birth of the server's life that is known. A birth that one side
+/// doesn't tell is that of the life known.
+bool IsSameLife(std::int64_t started_ms, const BackendServer& server) {
+  return started_ms == 0 || server.m_started_ms == 0 || started_ms == server.m_started_ms;
+}
+
+/// True if the place is at the life of its server that is known.
+bool AtThisLife(const HeldSlot& held, const BackendServer& server) {
+  return IsSameLife(held.m_started_ms, server);
+}
+
+/// Counts places that are held at a later life than was known until now, and gives those at a life
+/// whose birth is told only now that birth.
+void TakeBirth(SlotBroker& broker, const std::string& id, std::int64_t before) {
+  const auto [pool, i] = FindServer(broker, id);
+  const std::int64_t started_ms = pool->m_servers[i].m_started_ms;
+  for (auto& [name, holder] : broker.m_instance_slots) {
+    for (auto& [ref, held] : holder.m_held) {
+      if (held.m_server != id)
+        continue;
+      if (before == 0 && held.m_started_ms == 0)
+        held.m_started_ms = started_ms;
+      if (before == 0 || held.m_started_ms != started_ms)
+        continue;
+      ++pool->m_views[i].m_other_in_flight;
+      pool->m_views[i].m_pending_prefill_tokens += held.m_pending_prefill_tokens;
+      CountPlaced(*pool, i);
+    }
+  }
+}
+
+/// What is known of a server's new life from its earlier one: nothing but its pace, which its
+/// engine will likely have again.
+ServerView ViewOfNewLife(const ServerView& earlier, bool same_pool) {
+  ServerView view;
+  if (same_pool)
+    view.m_performance = earlier.m_performance;
+  return view;
+}
+
+/// Frees what is kept of times that are over. A server that has asked all instances once and never
+/// again would keep one for each.
+void DropBackOffs(SlotPool& pool, Instant now) {
+  if (pool.m_back_off_until == Instant{} || now < pool.m_back_off_until)
+    return;
+  pool.m_back_off_until = {};
+  for (ServerNotices& notices : pool.m_notices)
+    notices.m_back_off_until.clear();
+}
+
+void CountHeard(SlotBroker& broker, Instant now) {
+  const auto heard = [now](const auto& entry) {
+    return now - entry.second.m_last_heard <= kHeardLately;
+  };
+  broker.m_reachable_instances = static_cast<int>(
+      std::count_if(broker.m_instance_slots.begin(), broker.m_instance_slots.end(), heard));
+  broker.m_instances =
+      CountInstances(broker.m_instances, broker.m_reachable_instances, broker.m_may_serve, now);
+}
+
+void FreePlace(SlotBroker& broker, const HeldSlot& held, Instant now) {
+  const auto [pool, i] = FindServer(broker, held.m_server);
+  if (pool == nullptr || !AtThisLife(held, pool->m_servers[i]))
+    return;
+  // A place at an evacuated server comes free for nobody.
+  if (held.m_taken != Instant{} && !pool->m_servers[i].m_evacuated)
+    pool->m_flow = CountFreed(pool->m_flow, now - held.m_taken, now);
+  --pool->m_views[i].m_other_in_flight;
+  pool->m_views[i].m_pending_prefill_tokens -= held.m_pending_prefill_tokens;
+}
+
+}  // namespace
+
+std::string_view SlotVerdictName(SlotVerdict verdict) noexcept {
+  switch (verdict) {
+    case SlotVerdict::kPlaced:
+      return "placed";
+    case SlotVerdict::kQueued:
+      return "queued";
+    case SlotVerdict::kNoRoom:
+      return "no_room";
+    case SlotVerdict::kOverLimit:
+      return "over_limit";
+    case SlotVerdict::kNoServer:
+      return "no_server";
+  }
+  return "unknown";
+}
+
+int LengthClass(double& usual, std::int64_t expected_tokens) noexcept {
+  constexpr double kGain = 0.02;  // The usual length is that of some fifty requests.
+  constexpr int kLongest = kLengthClasses - 1;
+  if (expected_tokens <= 0)
+    return 0;
+  const double length = std::log2(static_cast<double>(expected_tokens));
+  usual = usual == 0 ? length : usual + kGain * (length - usual);
+  return std::clamp(static_cast<int>(length - usual), 0, kLongest);
+}
+
+SlotBroker MakeSlotBroker(std::int64_t epoch, std::uint64_t seed, Duration may_serve, Instant now) {
+  SlotBroker broker;
+  broker.m_epoch = epoch;
+  broker.m_may_serve = may_serve;
+  broker.m_began = now;
+  broker.m_random = seed | 1;
+  return broker;
+}
+
+double ToldShare(const SlotBroker& broker, Instant now) noexcept {
+  return now - broker.m_began >= kResyncTime ? 1 : ReachableShare(broker);
+}
+
+double ReachableShare(const SlotBroker& broker) noexcept {
+  const int most = std::max(1, broker.m_instances.m_recent_max);
+  return std::min(1.0, static_cast<double>(std::max(1, broker.m_reachable_instances)) / most);
+}
+
+void SetServers(SlotBroker& broker, const std::vector<BackendServer>& servers) {
+  std::map<std::string, SlotPool> before;
+  before.swap(broker.m_pools);
+  const auto index_before = std::move(broker.m_server_index);
+  broker.m_server_index.clear();
+  for (auto& [name, pool] : before) {
+    SlotPool& kept = broker.m_pools[name];
+    kept.m_waiting = std::move(pool.m_waiting);
+    kept.m_mean_log_tokens = pool.m_mean_log_tokens;
+    kept.m_flow = pool.m_flow;
+    kept.m_shares = std::move(pool.m_shares);
+    kept.m_trial = std::move(pool.m_trial);
+    kept.m_slow_start_limit = pool.m_slow_start_limit;
+    kept.m_back_off_until = pool.m_back_off_until;
+    // Parts go by index, which changes: what engines keep is found again by use.
+  }
+  std::vector<std::pair<std::string, std::int64_t>> births;  // Told since, with what was known.
+  for (const BackendServer& server : servers) {
+    SlotPool& pool = broker.m_pools[server.m_pool];
+    ServerView view;
+    ServerHealth health;
+    ServerNotices notices;
+    SlowStartState slow_start;
+    const auto known = index_before.find(server.m_id);
+    bool appeared = known == index_before.end();
+    if (!appeared) {
+      SlotPool& old = before[known->second.first];
+      view = old.m_views[known->second.second];
+      health = old.m_health[known->second.second];
+      notices = std::move(old.m_notices[known->second.second]);
+      slow_start = std::move(old.m_slow_starts[known->second.second]);
+      const std::int64_t started_ms = old.m_servers[known->second.second].m_started_ms;
+      appeared = server.m_started_ms != started_ms;
+      if (server.m_started_ms > started_ms)
+        births.emplace_back(server.m_id, started_ms);
+      if (started_ms > 0 && server.m_started_ms > started_ms) {
+        view = ViewOfNewLife(view, known->second.first == server.m_pool);
+        health = {};
+        notices = {};
+      }
+    }
+    if (appeared)
+      Appear(broker.m_outages, server.m_data_centre, server.m_id);
+    view.m_slots = std::max(1, server.m_slots);
+    view.m_own_in_flight = 0;
+    broker.m_server_index[server.m_id] = {server.m_pool, pool.m_servers.size()};
+    pool.m_servers.push_back(server);
+    // The registry's word may be of before.
+    pool.m_servers.back().m_leaving = server.m_leaving || notices.m_leaving;
+    pool.m_views.push_back(view);
+    pool.m_health.push_back(health);
+    pool.m_notices.push_back(std::move(notices));
+    pool.m_slow_starts.push_back(std::move(slow_start));
+  }
+  for (const auto& [id, before] : births)
+    TakeBirth(broker, id, before);
+  WatchServers(broker);
+}
+
+void SetRegions(SlotBroker& broker, RegionMap regions) {
+  broker.m_regions = std::move(regions);
+}
+
+void SetSlowStartLimits(SlotBroker& broker, const std::map<std::string, SlowStartLimit>& limits) {
+  for (auto& [name, pool] : broker.m_pools)
+    pool.m_slow_start_limit = {};
+  for (const auto& [name, limit] : limits)
+    broker.m_pools[name].m_slow_start_limit = limit;
+}
+
+void ApplyBatch(SlotBroker& broker,
+                const std::string& instance,
+                SlotBatch batch,
+                Instant now,
+                std::vector<SlotResponse>& out) {
+  if (batch.m_resync)
+    Resync(broker, instance, batch.m_instances, now);
+  for (const LimitReport& word : batch.m_limits)
+    HearLimit(broker, word, now);
+  for (const ServerNotice& notice : batch.m_notices)
+    HearWord(broker, instance, notice, now);
+  for (const HeldSlot& held : batch.m_held)
+    Hold(broker, instance, held, now);
+  for (const SlotRef ref : batch.m_cancelled_requests)
+    CancelRequest(broker, instance, ref);
+  for (const SlotReport& report : batch.m_reports)
+    ApplyReport(broker, instance, report, now, out);
+  for (SlotRequest& slot_request : batch.m_slot_requests)
+    RequestSlot(broker, instance, std::move(slot_request), now, out);
+}
+
+void RequestSlot(SlotBroker& broker,
+                 const std::string& instance,
+                 SlotRequest slot_request,
+                 Instant now,
+                 std::vector<SlotResponse>& out) {
+  broker.m_instance_slots[instance].m_last_heard = now;
+  broker.m_instance_slots[instance].m_data_centre = slot_request.m_data_centre;
+  SlotPool& pool = broker.m_pools[slot_request.m_pool];
+  ShareGroup group{slot_request.m_shape.m_tier, 0, slot_request.m_workspace};
+  const bool limited = !slot_request.m_workspace.empty() && slot_request.m_limit.m_rate_per_s > 0;
+  if (limited) {
+    QuotaBucket& limit =
+        broker.m_limits
+            .try_emplace(slot_request.m_workspace, BeginLimit(slot_request.m_limit, broker.m_began))
+            .first->second;
+    const double share = ReachableShare(broker);
+    Withhold(limit, slot_request.m_limit, share, broker.m_may_serve, now);
+    const QuotaLimit heard{slot_request.m_limit.m_rate_per_s * share, slot_request.m_limit.m_burst};
+    if (!Spend(limit, heard, slot_request.m_quota, now)) {
+      out.push_back(
+          RefusalOf(instance, slot_request.m_ref, SlotVerdict::kOverLimit, limit.m_tokens));
+      return;
+    }
+  } else {
+    slot_request.m_workspace.clear();
+  }
+  if (pool.m_servers.empty() || NoneMayServe(pool, slot_request.m_home_regions)) {
+    GiveBack(broker, slot_request);
+    out.push_back(RefusalOf(instance, slot_request.m_ref, SlotVerdict::kNoServer, 0));
+    return;
+  }
+  RefreshTypical(pool, now);
+  if (broker.m_tokens_per_event > 0)
+    slot_request.m_shape.m_events =
+        static_cast<double>(slot_request.m_expected_tokens) / broker.m_tokens_per_event;
+  const Tier route_tier = slot_request.m_shape.m_tier;
+  group.m_length_class =
+      LengthClass(pool.m_mean_log_tokens[RankIndex(route_tier)], slot_request.m_expected_tokens);
+  pool.m_flow = CountAsked(pool.m_flow, route_tier, now);
+  CountAsked(pool.m_shares, group, now);
+  const bool owed = IsOwedSlot(pool.m_shares, group);
+  if (owed)
+    CountServed(pool.m_shares, group, now);
+  const SlotQueueOrder order{owed, slot_request.m_tier, route_tier, group.m_length_class,
+                             broker.m_next_number++};
+  QueuedSlotRequest waiting{instance, std::move(slot_request), std::move(group), order, now, {},
+                            false};
+  const bool yields = !owed && Yields(pool, route_tier);
+  if (std::optional<SlotResponse> answer = TryAll(broker, pool, waiting, yields, now)) {
+    out.push_back(std::move(*answer));
+    return;
+  }
+  WaitOrRefuse(broker, pool, std::move(waiting), now, out);
+}
+
+void CancelRequest(SlotBroker& broker, const std::string& instance, SlotRef ref) {
+  InstanceSlots& known = broker.m_instance_slots[instance];
+  const auto found = known.m_waiting.find(ref);
+  if (found == known.m_waiting.end())
+    return;
+  SlotPool& pool = broker.m_pools[found->second.first];
+  const auto waiting = pool.m_waiting.find(found->second.second);
+  known.m_waiting.erase(found);
+  if (waiting == pool.m_waiting.end())
+    return;
+  GiveBack(broker, waiting->second.m_request);
+  if (waiting->first.m_owed)
+    CountUnserved(pool.m_shares, waiting->second.m_group, pool.m_shares.m_all.m_at);
+  pool.m_waiting.erase(waiting);
+}
+
+void ApplyReport(SlotBroker& broker,
+                 const std::string& instance,
+                 const SlotReport& report,
+                 Instant now,
+                 std::vector<SlotResponse>& out) {
+  InstanceSlots& known = broker.m_instance_slots[instance];
+  known.m_last_heard = now;
+  const auto found = known.m_held.find(report.m_ref);
+  if (found == known.m_held.end())
+    return;
+  HeldSlot& held = found->second;
+  const auto [pool, i] = FindServer(broker, held.m_server);
+  const bool counts = pool != nullptr && AtThisLife(held, pool->m_servers[i]);
+  if (pool != nullptr) {
+    const SlotReport at_server = LearnReach(broker, held, pool->m_servers[i].m_region, report);
+    LearnVersion(*pool, held, at_server, now);
+    if (counts)
+      pool->m_views[i].m_performance = LearnPace(pool->m_views[i].m_performance, at_server);
+  }
+  if (counts) {
+    LearnPath(broker, instance, held, report, now);
+    const bool old = SentBeforeRecovery(broker.m_outages, pool->m_servers[i].m_data_centre,
+                                        held.m_server, held.m_taken);
+    // A failure of a request that was sent before the server's return says nothing of it now.
+    const bool tells =
+        report.m_health_signal && (!old || report.m_health_signal == HealthSignal::kSuccess);
+    if (tells) {
+      LearnHealth(broker, *pool, i, {instance, *report.m_health_signal}, now);
+      ObserveRestartSign(*pool, i, report, now);
+    }
+    if (report.m_time_to_first_event > Duration(0)) {
+      pool->m_views[i].m_pending_prefill_tokens -= held.m_pending_prefill_tokens;
+      held.m_pending_prefill_tokens = 0;
+    }
+  }
+  broker.m_tokens_per_event = UpdateTokensPerEvent(
+      broker.m_tokens_per_event, held.m_expected_tokens, report.m_events, kEventGain);
+  if (!report.m_ended)
+    return;
+  const auto limit = broker.m_limits.find(held.m_workspace);
+  if (!report.m_may_have_run && limit != broker.m_limits.end())
+    Refund(limit->second, held.m_cost);
+  FreePlace(broker, held, now);
+  known.m_held.erase(found);
+  if (counts && !pool->m_waiting.empty())
+    ServeServer(broker, *pool, i, now, out);
+}
+
+void Hold(SlotBroker& broker, const std::string& instance, const HeldSlot& held, Instant now) {
+  InstanceSlots& known = broker.m_instance_slots[instance];
+  known.m_last_heard = now;
+  const auto [place, added] = known.m_held.emplace(held.m_ref, held);
+  if (!added)
+    return;
+  const auto [pool, i] = FindServer(broker, held.m_server);
+  if (pool == nullptr)
+    return;
+  place->second.m_version = pool->m_servers[i].m_version;
+  if (!AtThisLife(held, pool->m_servers[i]))
+    return;
+  if (held.m_started_ms == 0)
+    place->second.m_started_ms = pool->m_servers[i].m_started_ms;
+  ++pool->m_views[i].m_other_in_flight;
+  pool->m_views[i].m_pending_prefill_tokens += held.m_pending_prefill_tokens;
+  CountPlaced(*pool, i);
+}
+
+void HearWord(SlotBroker& broker,
+              const std::string& instance,
+              const ServerNotice& notice,
+              Instant now) {
+  broker.m_instance_slots[instance].m_last_heard = now;
+  const auto [pool, i] = FindServer(broker, notice.m_server);
+  if (pool == nullptr || !IsSameLife(notice.m_started_ms, pool->m_servers[i]))
+    return;
+  TakeWord(pool->m_notices[i], instance, notice, now);
+  pool->m_back_off_until = std::max(pool->m_back_off_until, now + notice.m_back_off);
+  BackendServer& server = pool->m_servers[i];
+  if (!notice.m_leaving || server.m_leaving)
+    return;
+  server.m_leaving = true;
+  broker.m_leaving_events.push_back({server.m_id, instance});
+  WatchServers(broker);
+}
+
+void Resync(SlotBroker& broker, const std::string& instance, int instances, Instant now) {
+  std::vector<SlotResponse> none;
+  broker.m_instances = CountInstances(broker.m_instances, instances, broker.m_may_serve, now);
+  const auto found = broker.m_instance_slots.find(instance);
+  if (found != broker.m_instance_slots.end()) {
+    for (const auto& [ref, held] : found->second.m_held)
+      FreePlace(broker, held, now);
+    const std::unordered_map<SlotRef, std::pair<std::string, SlotQueueOrder>> waiting =
+        found->second.m_waiting;
+    for (const auto& [ref, where] : waiting)
+      CancelRequest(broker, instance, ref);
+  }
+  broker.m_instance_slots[instance] = {};
+  broker.m_instance_slots[instance].m_last_heard = now;
+  CountHeard(broker, now);
+}
+
+void HearLimit(SlotBroker& broker, const LimitReport& report, Instant now) {
+  QuotaBucket& limit =
+      broker.m_limits.try_emplace(report.m_workspace, BeginLimit(report.m_limit, broker.m_began))
+          .first->second;
+  // What this broker said itself is no news.
+  if (report.m_epoch != 0 && report.m_epoch < broker.m_epoch)
+    TakeOver(limit, report.m_limit, report.m_limit_left, now - report.m_age, now);
+  ChargeLate(limit, report.m_limit, report.m_charged_without_broker);
+}
+
+void RemoveInstance(SlotBroker& broker,
+                    const std::string& instance,
+                    Instant now,
+                    std::vector<SlotResponse>& out) {
+  Resync(broker, instance, 0, now);
+  broker.m_instance_slots.erase(instance);
+  for (auto& [name, pool] : broker.m_pools)
+    ServePool(broker, pool, now, out);
+}
+
+void TickBroker(SlotBroker& broker, Instant now, std::vector<SlotResponse>& out) {
+  CountHeard(broker, now);
+  SettleOutages(broker, now);
+  for (auto& [name, pool] : broker.m_pools) {
+    DropBackOffs(pool, now);
+    if (pool.m_waiting.empty())
+      continue;
+    RefuseUnservable(broker, pool, now, out);
+    ExpirePool(broker, pool, now, out);
+    ServePool(broker, pool, now, out);
+  }
+}
+
+}  // namespace poppyway
--- /dev/null
+++ b/packages/policy/src/slot_learn.cc
@@ -0,0 +1,45 @@
+// SPDX-License-Identifier: MIT
+// Part of poppyway, a request scheduler for unlike engines.
+// What the broker of places learns from reports.
+#include "slot_internal.h"
+
+namespace poppyway {
+
+void LearnHealth(SlotBroker& broker,
+                 SlotPool& pool,
+                 std::size_t i,
+                 const HealthReport& word,
+                 Instant now) {
+  ServerHealth& health = pool.m_health[i];
+  const bool avoided = IsEjected(health, now);
+  health = Observe(health, word.m_health_signal, now);
+  if (!avoided && IsEjected(health, now))
+    broker.m_ejected.push_back({pool.m_servers[i].m_id, word.m_instance, health});
+}
+
+SlotReport LearnReach(SlotBroker& broker,
+                      const HeldSlot& held,
+                      const std::string& region,
+                      const SlotReport& report) {
+  ObserveConnect(broker.m_round_trip_table, held.m_from, region, report.m_connect);
+  const Duration trip = RoundTrip(broker.m_round_trip_table, held.m_from, region);
+  SlotReport at_server = report;
+  if (report.m_time_to_first_event > Duration(0))
+    at_server.m_time_to_first_event = TimeAtServer(report.m_time_to_first_event, trip);
+  if (report.m_service > Duration(0))
+    at_server.m_service = TimeAtServer(report.m_service, trip);
+  return at_server;
+}
+
+ServerPerformance LearnPace(const ServerPerformance& before, const SlotReport& report) {
+  ServerPerformance pace = before;
+  if (report.m_time_to_first_event > Duration(0))
+    pace = ObserveFirstEvent(pace, report.m_tokens_read, report.m_time_to_first_event);
+  if (report.m_service > Duration(0))
+    pace = ObserveService(pace, report.m_service);
+  if (report.m_events > 1)
+    pace = ObserveStream(pace, report.m_events - 1, report.m_span, report.m_longest_pause);
+  return pace;
+}
+
+}  // namespace poppyway
