--- /dev/null
+++ b/packages/policy/src/slot_outage.cc
@@ -0,0 +1,101 @@
+// SPDX-License-Identifier: MIT
+// Part of poppyway, a request scheduler for unlike engines.
+// What the broker of places knows of data centres that are lost or cut off as a whole.
+#include "slot_internal.h"
+
+namespace poppyway {
+namespace {
+
+// A trial that finds no connection costs its request 300 ms; it has to be of use still after it.
+constexpr Duration kLeastLeft{1'000'000};
+
+/// Something came from the server, if only a refusal.
+bool IsHeard(const SlotReport& report) {
+  const bool declined = report.m_health_signal == HealthSignal::kFailure && !report.m_may_have_run;
+  return report.m_time_to_first_event > Duration(0) || report.m_connect > Duration(0) ||
+         report.m_failed || report.m_health_signal == HealthSignal::kSuccess || declined;
+}
+
+void TakeNews(SlotBroker& broker, OutageEvent event) {
+  if (event.m_transition != OutageTransition::kNone)
+    broker.m_outage_events.push_back(std::move(event));
+}
+
+/// What was learned of the server's health was the data centre's.
+void ForgetFailures(SlotBroker& broker, const std::string& server) {
+  const auto& [name, i] = broker.m_server_index.at(server);
+  ServerHealth& health = broker.m_pools.at(name).m_health[i];
+  health.m_failures = 0;
+  health.m_ejected_until = {};
+  health.m_probe_until = {};
+}
+
+}  // namespace
+
+void LearnPath(SlotBroker& broker,
+               const std::string& instance,
+               const HeldSlot& held,
+               const SlotReport& report,
+               Instant now) {
+  const auto found = broker.m_server_index.find(held.m_server);
+  if (found == broker.m_server_index.end())
+    return;
+  const auto& [name, i] = found->second;
+  const bool heard = IsHeard(report);
+  const bool says_nothing =
+      !heard && (!report.m_health_signal || report.m_health_signal == HealthSignal::kSuccess);
+  if (says_nothing)
+    return;
+  const std::string& data_centre = broker.m_pools.at(name).m_servers[i].m_data_centre;
+  OutageEvent event = RecordReport(
+      broker.m_outages, {data_centre, held.m_server, instance, heard, held.m_taken}, now);
+  if (event.m_transition == OutageTransition::kServerResponded)
+    ForgetFailures(broker, held.m_server);
+  TakeNews(broker, std::move(event));
+}
+
+bool IsSuspect(const OutageDetector& outages, const SlotPool& pool, std::size_t i, Instant now) {
+  const BackendServer& server = pool.m_servers[i];
+  return IsServerSuspect(outages, server.m_data_centre, server.m_id) ||
+         IsEjected(pool.m_health[i], now);
+}
+
+std::optional<std::size_t> ChooseOutageTrial(const SlotBroker& broker,
+                                             const SlotPool& pool,
+                                             const QueuedSlotRequest& waiting,
+                                             const RequestShape& shape,
+                                             Instant now) {
+  if (broker.m_outages.m_suspect_count == 0 || shape.m_left < kLeastLeft)
+    return std::nullopt;
+  const WorkingSide side = SideAtWork(pool);
+  for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
+    const BackendServer& server = pool.m_servers[i];
+    if (!MayProbe(broker.m_outages, server.m_data_centre, server.m_id, now))
+      continue;
+    const bool only_lost =
+        CheckServerEligibility(broker.m_outages, pool, i, waiting, KeptFromWork(pool, side, i),
+                               now) == IneligibleReason::kSuspect;
+    if (only_lost && HasRoom(pool.m_views[i], shape, pool.m_typical))
+      return i;
+  }
+  return std::nullopt;
+}
+
+void WatchServers(SlotBroker& broker) {
+  std::map<std::string, int> servers;
+  for (const auto& [name, pool] : broker.m_pools) {
+    for (const BackendServer& server : pool.m_servers) {
+      if (!server.m_leaving && !server.m_data_centre.empty())
+        ++servers[server.m_data_centre];
+    }
+  }
+  SetWatched(broker.m_outages, servers);
+}
+
+void SettleOutages(SlotBroker& broker, Instant now) {
+  OutageEvent event;
+  while (EndRecoveredOutage(broker.m_outages, now, event))
+    TakeNews(broker, event);
+}
+
+}  // namespace poppyway
--- a/packages/policy/src/place_rollout.cc
+++ b/packages/policy/src/slot_rollout.cc
@@ -3,18 +3,18 @@
 // What a roll-out under way changes for the broker of places.
 #include <algorithm>
 
-#include "place_internal.h"
+#include "slot_internal.h"
 
 namespace poppyway {
 namespace {
 
-bool IsTarget(const PlacePool& pool, std::size_t i) {
+bool IsTarget(const SlotPool& pool, std::size_t i) {
   return pool.m_servers[i].m_version == pool.m_trial->m_target;
 }
 
 /// True if the pool has a server of the target version, or of others, that may work. An evacuation
 /// of all others doesn't end a trial: its bound would be lost.
-bool AnyOnSide(const PlacePool& pool, bool target) {
+bool AnyOnSide(const SlotPool& pool, bool target) {
   for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
     const bool away = target && pool.m_servers[i].m_evacuated;
     const bool may_work = !pool.m_servers[i].m_leaving && !away;
@@ -25,7 +25,7 @@
 }
 
 /// Of a stream with several events the time between two, of a plain answer its whole time.
-double PaceOf(const PlaceReport& report) {
+double PaceOf(const SlotReport& report) {
   constexpr std::int64_t kLeastEvents = 3;
   if (report.m_events >= kLeastEvents)
     return Seconds(report.m_span) * 1e3 / static_cast<double>(report.m_events - 1);
@@ -39,19 +39,19 @@
 
 }  // namespace
 
-void SetRollouts(PlaceBroker& broker,
-                 const std::vector<PlaceRollout>& rollouts,
+void SetRollouts(SlotBroker& broker,
+                 const std::vector<SlotRollout>& rollouts,
                  const ExposureBounds& bounds) {
   for (auto& entry : broker.m_pools) {
     const std::string& name = entry.first;
-    PlacePool& pool = entry.second;
+    SlotPool& pool = entry.second;
     const auto found = std::find_if(rollouts.begin(), rollouts.end(),
-                                    [&](const PlaceRollout& r) { return r.m_pool == name; });
+                                    [&](const SlotRollout& r) { return r.m_pool == name; });
     if (found == rollouts.end()) {
       pool.m_trial.reset();
       continue;
     }
-    const TrialStart& start = found->m_start;
+    const TrialCheckpoint& start = found->m_start;
     const bool known = pool.m_trial && pool.m_trial->m_number == start.m_number;
     if (!known)
       pool.m_trial = BeginTrial(start, bounds);
@@ -60,7 +60,7 @@
   }
 }
 
-WorkingSide SideAtWork(const PlacePool& pool) {
+WorkingSide SideAtWork(const SlotPool& pool) {
   if (!pool.m_trial)
     return WorkingSide::kAll;
   const bool target = pool.m_trial->m_moving && !IsBad(pool.m_trial->m_finding);
@@ -69,46 +69,50 @@
   return target ? WorkingSide::kTarget : WorkingSide::kOthers;
 }
 
-bool KeptFromWork(const PlacePool& pool, WorkingSide side, std::size_t i) {
+bool KeptFromWork(const SlotPool& pool, WorkingSide side, std::size_t i) {
   return side != WorkingSide::kAll && IsTarget(pool, i) != (side == WorkingSide::kTarget);
 }
 
-std::optional<std::size_t> ChooseTrialServer(const OutageWatch& outages,
-                                             const PlacePool& pool,
-                                             const WaitingAsk& waiting,
+std::optional<std::size_t> ChooseTrialServer(const OutageDetector& outages,
+                                             const SlotPool& pool,
+                                             const QueuedSlotRequest& waiting,
                                              const RequestShape& shape,
                                              Instant now) {
   if (!pool.m_trial || pool.m_trial->m_moving)
     return std::nullopt;
   const RolloutTrial& trial = *pool.m_trial;
-  if (!MayExpose(trial, waiting.m_ask.m_route) || IsBad(trial.m_finding))
+  if (!MayExpose(trial, waiting.m_request.m_route) || IsBad(trial.m_finding))
     return std::nullopt;
   // In turn the server that is known least and the one that is fullest: what fails under load only
   // shows there.
   const bool fullest = trial.m_sent % 2 == 1;
   std::optional<std::size_t> best;
   for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
-    const bool open = IsTarget(pool, i) &&
-                      BarOf(outages, pool, i, waiting, false, now) == ServerBar::kNone &&
-                      HasRoom(pool.m_views[i], shape, pool.m_typical);
+    const bool open =
+        IsTarget(pool, i) &&
+        CheckServerEligibility(outages, pool, i, waiting, false, now) == IneligibleReason::kNone &&
+        HasRoom(pool.m_views[i], shape, pool.m_typical);
     if (!open)
       continue;
-    const bool better = !best || (fullest ? pool.m_views[i].m_others > pool.m_views[*best].m_others
-                                          : RunsOf(trial, pool.m_servers[i].m_id) <
-                                                RunsOf(trial, pool.m_servers[*best].m_id));
+    const bool better =
+        !best ||
+        (fullest
+             ? pool.m_views[i].m_other_in_flight > pool.m_views[*best].m_other_in_flight
+             : RunsOf(trial, pool.m_servers[i].m_id) < RunsOf(trial, pool.m_servers[*best].m_id));
     if (better)
       best = i;
   }
   return best;
 }
 
-void CountPlaced(PlacePool& pool, std::size_t i) {
+void CountPlaced(SlotPool& pool, std::size_t i) {
   if (pool.m_trial)
     CountSent(*pool.m_trial, IsTarget(pool, i));
 }
 
-void LearnVersion(PlacePool& pool, const HeldPlace& held, const PlaceReport& report, Instant now) {
-  const bool told = pool.m_trial && report.m_ended && report.m_ran && report.m_sign;
+void LearnVersion(SlotPool& pool, const HeldSlot& held, const SlotReport& report, Instant now) {
+  const bool told =
+      pool.m_trial && report.m_ended && report.m_may_have_run && report.m_health_signal;
   if (!told)
     return;
   VersionSample sample;
@@ -116,8 +120,8 @@
   sample.m_route = held.m_route;
   sample.m_server = held.m_server;
   sample.m_failed = report.m_failed;
-  sample.m_cut = *report.m_sign != ServerSign::kGood && !report.m_failed;
-  sample.m_pace_ms = report.m_failed ? 0 : PaceOf(report);
+  sample.m_cut = *report.m_health_signal != HealthSignal::kSuccess && !report.m_failed;
+  sample.m_latency_ms = report.m_failed ? 0 : PaceOf(report);
   Learn(*pool.m_trial, sample, now);
 }
 
--- /dev/null
+++ b/packages/policy/src/slot_serve.cc
@@ -0,0 +1,298 @@
+// SPDX-License-Identifier: MIT
+// Part of poppyway, a request scheduler for unlike engines.
+// Which server a place request gets, and who is served when a place comes free.
+#include <algorithm>
+#include <cmath>
+
+#include "slot_internal.h"
+
+namespace poppyway {
+namespace {
+
+constexpr std::size_t kDepth = 64;     // Of the queue that a free place is offered to.
+constexpr std::size_t kTickDepth = 8;  // Of the queue that all servers are tried for.
+constexpr Duration kTypicalAge{100'000};
+
+std::uint64_t NextRandom(SlotBroker& broker) {
+  broker.m_random = broker.m_random * 6364136223846793005ULL + 1442695040888963407ULL;
+  return broker.m_random;
+}
+
+bool Tried(const SlotRequest& slot_request, const std::string& server) {
+  return std::find(slot_request.m_tried.begin(), slot_request.m_tried.end(), server) !=
+         slot_request.m_tried.end();
+}
+
+/// Sets what of a server's view depends on who asks and on the time.
+/// `kept`: whether a roll-out keeps the server from work.
+void SetView(const OutageDetector& outages,
+             SlotPool& pool,
+             std::size_t i,
+             const QueuedSlotRequest& waiting,
+             const RoundTrips& trips,
+             double told,
+             bool kept,
+             Instant now) {
+  const BackendServer& server = pool.m_servers[i];
+  ServerView& view = pool.m_views[i];
+  const IneligibleReason reason = CheckServerEligibility(outages, pool, i, waiting, kept, now);
+  view.m_usable = reason == IneligibleReason::kNone;
+  pool.m_slow_starts[i].m_full =
+      reason == IneligibleReason::kCold && !IsSuspect(outages, pool, i, now);
+  view.m_same_data_centre = server.m_data_centre == waiting.m_request.m_data_centre;
+  view.m_round_trip = trips.empty() ? Duration(0) : RoundTripTo(trips, server.m_region);
+  view.m_available_slots =
+      static_cast<int>(std::ceil(view.m_slots * told)) - view.m_other_in_flight;
+  view.m_cached_tokens = 0;
+}
+
+/// Half of a pool stays in use, whatever failures say: of the suspects those that fail least.
+/// `lost`: whether those of lost data centres count too.
+void UseSuspects(const OutageDetector& outages,
+                 SlotPool& pool,
+                 const QueuedSlotRequest& waiting,
+                 WorkingSide side,
+                 bool lost,
+                 Instant now) {
+  std::vector<std::size_t> suspects;
+  std::size_t present = 0;
+  std::size_t usable = 0;
+  for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
+    if (!lost && IsServerSuspect(outages, pool.m_servers[i].m_data_centre, pool.m_servers[i].m_id))
+      continue;
+    const IneligibleReason reason =
+        CheckServerEligibility(outages, pool, i, waiting, KeptFromWork(pool, side, i), now);
+    // A cold server that has got as much as it may is in use; one that is suspect too isn't.
+    const bool cold_in_use = reason == IneligibleReason::kCold && !IsSuspect(outages, pool, i, now);
+    if (reason != IneligibleReason::kNone && reason != IneligibleReason::kSuspect && !cold_in_use)
+      continue;
+    ++present;
+    if (reason == IneligibleReason::kSuspect)
+      suspects.push_back(i);
+    else
+      ++usable;
+  }
+  if (usable * 2 >= present)
+    return;
+  const auto less = [&pool](std::size_t a, std::size_t b) {
+    return pool.m_health[a].m_failure_rate < pool.m_health[b].m_failure_rate;
+  };
+  std::sort(suspects.begin(), suspects.end(), less);
+  for (std::size_t k = 0; usable * 2 < present; ++k, ++usable)
+    pool.m_views[suspects[k]].m_usable = true;
+}
+
+RoundTrips TripsOf(const SlotBroker& broker, const SlotRequest& slot_request) {
+  return RoundTripsFrom(broker.m_round_trip_table,
+                        RegionOf(broker.m_regions, slot_request.m_data_centre));
+}
+
+void SetViews(SlotBroker& broker, SlotPool& pool, const QueuedSlotRequest& waiting, Instant now) {
+  const double told = ToldShare(broker, now);
+  const WorkingSide side = SideAtWork(pool);
+  const RoundTrips trips = TripsOf(broker, waiting.m_request);
+  std::size_t usable = 0;
+  for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
+    SetView(broker.m_outages, pool, i, waiting, trips, told, KeptFromWork(pool, side, i), now);
+    usable += pool.m_views[i].m_usable ? 1 : 0;
+  }
+  if (usable * 2 < pool.m_servers.size())
+    UseSuspects(broker.m_outages, pool, waiting, side, false, now);
+  const bool none = broker.m_outages.m_suspect_count > 0 &&
+                    std::none_of(pool.m_views.begin(), pool.m_views.end(),
+                                 [](const ServerView& view) { return view.m_usable; });
+  if (none)
+    UseSuspects(broker.m_outages, pool, waiting, side, true, now);
+  SetKeptTokens(pool, waiting.m_request);
+}
+
+/// The place request as it stands after it has waited since `asked`.
+RequestShape ShapeNow(const QueuedSlotRequest& waiting, bool yields, Instant now) {
+  RequestShape shape = waiting.m_request.m_shape;
+  const Duration since = now - waiting.m_asked;
+  shape.m_waited += since;
+  shape.m_left -= since;
+  shape.m_yields_to_higher_priority = yields;
+  return shape;
+}
+
+/// Takes the place at server `i` of the pool.
+SlotResponse Take(SlotBroker& broker,
+                  SlotPool& pool,
+                  std::size_t i,
+                  const QueuedSlotRequest& waiting,
+                  Duration first,
+                  Instant now) {
+  const SlotRequest& slot_request = waiting.m_request;
+  ServerView& view = pool.m_views[i];
+  HeldSlot held;
+  held.m_ref = slot_request.m_ref;
+  const BackendServer& server = pool.m_servers[i];
+  held.m_server = server.m_id;
+  held.m_version = server.m_version;
+  held.m_started_ms = server.m_started_ms;
+  held.m_pending_prefill_tokens = slot_request.m_shape.m_prompt_tokens;
+  held.m_expected_tokens = slot_request.m_expected_tokens;
+  held.m_workspace = slot_request.m_workspace;
+  held.m_cost = slot_request.m_quota.m_cost;
+  held.m_taken = now;
+  ++view.m_other_in_flight;
+  view.m_pending_prefill_tokens += held.m_pending_prefill_tokens;
+  BeginProbe(broker.m_outages, pool.m_servers[i].m_data_centre, held.m_server, now);
+  if (IsHalfOpen(pool.m_health[i]))
+    pool.m_health[i] = BeginProbe(pool.m_health[i], now);
+  RememberParts(pool, i, slot_request, now);
+  CountPlaced(pool, i);
+  NoteSent(pool.m_slow_starts[i], pool.m_slow_start_limit, now);
+  held.m_route = slot_request.m_route;
+  held.m_from = RegionOf(broker.m_regions, slot_request.m_data_centre);
+  if (!waiting.m_order.m_owed)
+    CountServed(pool.m_shares, waiting.m_group, now);
+  SlotResponse answer;
+  answer.m_instance = waiting.m_instance;
+  answer.m_ref = slot_request.m_ref;
+  answer.m_verdict = SlotVerdict::kPlaced;
+  answer.m_server = held.m_server;
+  answer.m_started_ms = server.m_started_ms;
+  answer.m_address = server.m_address;
+  answer.m_port = server.m_port;
+  answer.m_time_to_first_event = first;
+  if (!slot_request.m_workspace.empty())
+    answer.m_limit_left = broker.m_limits[slot_request.m_workspace].m_tokens;
+  broker.m_instance_slots[waiting.m_instance].m_held.insert_or_assign(slot_request.m_ref,
+                                                                      std::move(held));
+  return answer;
+}
+
+/// Places that come free for others; those at evacuated servers don't.
+bool AnyColdFull(const SlotPool& pool) {
+  return std::any_of(pool.m_slow_starts.begin(), pool.m_slow_starts.end(),
+                     [](const SlowStartState& slow_start) { return slow_start.m_full; });
+}
+
+}  // namespace
+
+IneligibleReason CheckServerEligibility(const OutageDetector& outages,
+                                        const SlotPool& pool,
+                                        std::size_t i,
+                                        const QueuedSlotRequest& waiting,
+                                        bool kept,
+                                        Instant now) {
+  const BackendServer& server = pool.m_servers[i];
+  const SlotRequest& slot_request = waiting.m_request;
+  EligibilityInputs standing;
+  standing.m_leaving = server.m_leaving;
+  standing.m_evacuated = server.m_evacuated;
+  standing.m_kept_by_rollout = kept;
+  standing.m_backs_off = BackOffLeft(pool.m_notices[i], waiting.m_instance, now) > Duration(0);
+  standing.m_cold_full = ColdFull(pool.m_slow_starts[i], pool.m_slow_start_limit, now);
+  standing.m_suspect = IsSuspect(outages, pool, i, now);
+  standing.m_region = server.m_region;
+  return CheckEligibility(standing, slot_request.m_home_regions,
+                          !slot_request.m_tried.empty() && Tried(slot_request, server.m_id));
+}
+
+std::size_t RankIndex(Tier route_tier) {
+  return static_cast<std::size_t>(std::clamp(route_tier, 0, kTiers - 1));
+}
+
+void RefreshTypical(SlotPool& pool, Instant now) {
+  if (pool.m_typical_at != Instant{} && now - pool.m_typical_at < kTypicalAge)
+    return;
+  pool.m_typical = AveragePerformance(pool.m_views);
+  pool.m_typical_at = now;
+}
+
+bool Yields(const SlotPool& pool, Tier route_tier) {
+  return std::any_of(pool.m_waiting.begin(), pool.m_waiting.end(), [route_tier](const auto& entry) {
+    return entry.first.m_route_tier < route_tier;
+  });
+}
+
+SlotResponse RefusalOf(const std::string& instance, SlotRef ref, SlotVerdict verdict, double left) {
+  SlotResponse answer;
+  answer.m_instance = instance;
+  answer.m_ref = ref;
+  answer.m_verdict = verdict;
+  answer.m_limit_left = left;
+  return answer;
+}
+
+std::optional<SlotResponse> TryAll(SlotBroker& broker,
+                                   SlotPool& pool,
+                                   QueuedSlotRequest& waiting,
+                                   bool yields,
+                                   Instant now) {
+  SetViews(broker, pool, waiting, now);
+  const RequestShape shape = ShapeNow(waiting, yields, now);
+  if (const auto i = ChooseTrialServer(broker.m_outages, pool, waiting, shape, now)) {
+    const Duration first = PredictTimeToFirstEvent(pool.m_views[*i], shape, pool.m_typical);
+    return Take(broker, pool, *i, waiting, first, now);
+  }
+  if (const auto i = ChooseOutageTrial(broker, pool, waiting, shape, now)) {
+    const Duration first = PredictTimeToFirstEvent(pool.m_views[*i], shape, pool.m_typical);
+    return Take(broker, pool, *i, waiting, first, now);
+  }
+  const std::optional<ServerChoice> choice =
+      ChooseServer(pool.m_views, shape, pool.m_typical, NextRandom(broker));
+  if (choice)
+    return Take(broker, pool, choice->m_index, waiting, choice->m_time_to_first_event, now);
+  if (AnyColdFull(pool))
+    ++broker.m_cold_waits[waiting.m_request.m_pool];
+  waiting.m_needs_suitable = AnyCanMeetTargets(pool.m_views, shape, pool.m_typical);
+  return std::nullopt;
+}
+
+void ServeServer(SlotBroker& broker,
+                 SlotPool& pool,
+                 std::size_t i,
+                 Instant now,
+                 std::vector<SlotResponse>& out) {
+  const double told = ToldShare(broker, now);
+  if (KeptFromWork(pool, SideAtWork(pool), i))
+    return;  // A trial takes new requests, and what waits at the next look at all servers.
+  Tier most_urgent = kTiers;
+  std::size_t depth = 0;
+  for (auto it = pool.m_waiting.begin(); it != pool.m_waiting.end() && depth < kDepth; ++depth) {
+    QueuedSlotRequest& waiting = it->second;
+    const Tier route_tier = it->first.m_route_tier;
+    const bool yields = !it->first.m_owed && route_tier > most_urgent;
+    SetView(broker.m_outages, pool, i, waiting, TripsOf(broker, waiting.m_request), told, false,
+            now);
+    const ServerView& view = pool.m_views[i];
+    const RequestShape shape = ShapeNow(waiting, yields, now);
+    const bool fits = view.m_usable && HasRoom(view, shape, pool.m_typical) &&
+                      (!waiting.m_needs_suitable || CanMeetTargets(view, shape, pool.m_typical));
+    if (!fits) {
+      most_urgent = std::min(most_urgent, route_tier);
+      ++it;
+      continue;
+    }
+    const Duration first = PredictTimeToFirstEvent(view, shape, pool.m_typical);
+    out.push_back(Take(broker, pool, i, waiting, first, now));
+    broker.m_instance_slots[waiting.m_instance].m_waiting.erase(waiting.m_request.m_ref);
+    it = pool.m_waiting.erase(it);
+  }
+}
+
+void ServePool(SlotBroker& broker, SlotPool& pool, Instant now, std::vector<SlotResponse>& out) {
+  RefreshTypical(pool, now);
+  Tier most_urgent = kTiers;
+  std::size_t without_room = 0;
+  for (auto it = pool.m_waiting.begin(); it != pool.m_waiting.end() && without_room < kTickDepth;) {
+    const Tier route_tier = it->first.m_route_tier;
+    const bool yields = !it->first.m_owed && route_tier > most_urgent;
+    std::optional<SlotResponse> answer = TryAll(broker, pool, it->second, yields, now);
+    if (!answer) {
+      most_urgent = std::min(most_urgent, route_tier);
+      ++without_room;
+      ++it;
+      continue;
+    }
+    out.push_back(std::move(*answer));
+    broker.m_instance_slots[it->second.m_instance].m_waiting.erase(it->second.m_request.m_ref);
+    it = pool.m_waiting.erase(it);
+  }
+}
+
+}  // namespace poppyway
--- a/packages/policy/src/served_share.cc
+++ b/packages/policy/src/starvation_guard.cc
@@ -8,7 +8,7 @@
 namespace poppyway {
 namespace {
 
-// At 1.4 times a pool's places for half a minute (tests/place_overload_test.cc, mean of six seeds)
+// At 1.4 times a pool's places for half a minute (tests/slot_overload_test.cc, mean of six seeds)
 // the least urgent kind gets 0.48 of its requests served, beside 0.68 of all; without a floor 0.11.
 // The most urgent gives up 0.001 of its own. Half is needed; the rest is for what is counted here
 // and not yet known: who waits counts as unserved, who runs may still fail.
@@ -46,10 +46,10 @@
               double asked,
               double served,
               Instant now) {
-  const std::size_t rank = Index(group.m_rank, kTiers);
+  const std::size_t rank = Index(group.m_route_tier, kTiers);
   Add(shares.m_all, asked, served, now);
   Add(shares.m_by_rank[rank], asked, served, now);
-  Add(shares.m_by_length[rank][Index(group.m_length, kLengthClasses)], asked, served, now);
+  Add(shares.m_by_length[rank][Index(group.m_length_class, kLengthClasses)], asked, served, now);
   if (!group.m_workspace.empty())
     Add(shares.m_by_workspace[group.m_workspace], asked, served, now);
 }
@@ -88,14 +88,14 @@
   AddToAll(shares, group, 0, -1, now);
 }
 
-bool OwedPlace(const ServedShares& shares, const ShareGroup& group) {
-  const std::size_t rank = Index(group.m_rank, kTiers);
+bool IsOwedSlot(const ServedShares& shares, const ShareGroup& group) {
+  const std::size_t rank = Index(group.m_route_tier, kTiers);
   const double all = ShareOf(shares.m_all);
   const double of_rank = ShareOf(shares.m_by_rank[rank]);
   const bool rank_owed = of_rank < kFloor * all && !MoreUrgentIsServedLess(shares, rank);
   if (rank_owed)
     return true;
-  const ServedCount& length = shares.m_by_length[rank][Index(group.m_length, kLengthClasses)];
+  const ServedCount& length = shares.m_by_length[rank][Index(group.m_length_class, kLengthClasses)];
   if (ShareOf(length) < kLengthFloor * of_rank)
     return true;
   const auto workspace = shares.m_by_workspace.find(group.m_workspace);
--- a/packages/state/include/poppyway/state/impl/hosted_state.h
+++ b/packages/state/include/poppyway/state/impl/hosted_state.h
@@ -47,12 +47,12 @@
 
 /// \brief True if applying `record` would change what instances have to know. That a server is cold
 /// or warm again counts; that it is cold for longer than it said before can't be told without a
-/// clock: see `ChangesCold`.
+/// clock: see `ChangesColdTime`.
 [[nodiscard]] bool ChangesServer(const HostedState& state, const wire::ServerRecord& record);
 
 /// \brief True if applying `record` would change for how long the server is known to be cold. Each
 /// call of a cold server would, so who proposes it decides which are news.
-[[nodiscard]] bool ChangesCold(const HostedState& state, const wire::ServerRecord& record);
+[[nodiscard]] bool ChangesColdTime(const HostedState& state, const wire::ServerRecord& record);
 
 /// \brief Servers of pools that no document names that are kept at most: another writer may name
 /// any. Above what a large deployment registers before its first document; a server refused comes
--- a/packages/state/src/hosted_state.cc
+++ b/packages/state/src/hosted_state.cc
@@ -47,7 +47,7 @@
 /// Takes a record of the life that is known.
 void Update(wire::ServerRecord& known, const wire::ServerRecord& record) {
   const std::int64_t sequence = std::max(known.sequence, record.sequence);
-  const std::int64_t born = std::max(known.born, record.born);
+  const std::int64_t started_ms = std::max(known.born, record.born);
   const bool named = !record.pool.empty();
   if (named) {
     known = record;
@@ -56,7 +56,7 @@
     known.stage = record.stage;
   }
   known.sequence = sequence;
-  known.born = born;
+  known.born = started_ms;
 }
 
 }  // namespace
@@ -94,7 +94,7 @@
   return !SamePlace(known, record) || (known.cold_for_ms > 0) != (record.cold_for_ms > 0);
 }
 
-bool ChangesCold(const HostedState& state, const wire::ServerRecord& record) {
+bool ChangesColdTime(const HostedState& state, const wire::ServerRecord& record) {
   const auto found = state.m_servers.find(record.id);
   if (found == state.m_servers.end())
     return true;
@@ -106,7 +106,7 @@
 }
 
 void ApplyServer(HostedState& state, const wire::ServerRecord& record, std::int64_t index) {
-  if (!ChangesServer(state, record) && !ChangesCold(state, record))
+  if (!ChangesServer(state, record) && !ChangesColdTime(state, record))
     return;
   wire::ServerRecord& known = state.m_servers[record.id];
   if (LifeOf(known, record) == Life::kLater)
--- a/tests/broker_link_test.cc
+++ b/tests/broker_link_test.cc
@@ -19,15 +19,15 @@
   Pending call(rig, Request("/safe/", "i"));
   rig.RunUntil([&] { return !broker.Asks().empty(); });
   REQUIRE(broker.Asks().size() == 1);
-  Decide(rig, broker.Asks()[0].m_ref, PlaceVerdict::kPlaced, "s1");
+  Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kPlaced, "s1");
   CHECK(call.Finish(rig).body() == "right");
   CHECK(wrong.requests().empty());
   REQUIRE(broker.Reports().size() == 1);
-  const PlaceReport report = broker.Reports()[0];
+  const SlotReport report = broker.Reports()[0];
   CHECK(report.m_ref == broker.Asks()[0].m_ref);
   CHECK(report.m_ended);
-  CHECK(report.m_ran);
-  CHECK(report.m_sign == ServerSign::kGood);
+  CHECK(report.m_may_have_run);
+  CHECK(report.m_health_signal == HealthSignal::kSuccess);
 }
 
 TEST_CASE("what the broker refuses gets its answer at once and runs nowhere") {
@@ -35,9 +35,8 @@
   Rig rig;
   rig.Register("s0", server);
   FakeBroker broker(rig);
-  const std::pair<PlaceVerdict, int> cases[] = {{PlaceVerdict::kNoRoom, 503},
-                                                {PlaceVerdict::kNoServer, 503},
-                                                {PlaceVerdict::kOverLimit, 429}};
+  const std::pair<SlotVerdict, int> cases[] = {
+      {SlotVerdict::kNoRoom, 503}, {SlotVerdict::kNoServer, 503}, {SlotVerdict::kOverLimit, 429}};
   for (const auto& [verdict, status] : cases) {
     broker.m_batches.clear();
     Pending call(rig, Request("/safe/", "i"));
@@ -79,20 +78,20 @@
   CHECK(broker.m_silent == 0);
   // Its late word gives the place back, and it is asked again.
   REQUIRE(broker.Asks().size() == 1);
-  Decide(rig, broker.Asks()[0].m_ref, PlaceVerdict::kPlaced, "s0");
+  Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kPlaced, "s0");
   Pending call(rig, Request("/safe/", "j"));
   rig.RunUntil([&] { return broker.Asks().size() == 2; });
   REQUIRE(broker.Asks().size() == 2);
-  Decide(rig, broker.Asks()[1].m_ref, PlaceVerdict::kPlaced, "s0");
+  Decide(rig, broker.Asks()[1].m_ref, SlotVerdict::kPlaced, "s0");
   CHECK(call.Finish(rig).status() == 200);
   CHECK(broker.m_silent == 0);
-  const std::vector<PlaceReport> reports = broker.Reports();
-  const auto returned = [&](const PlaceReport& report) {
-    return report.m_ref == broker.Asks()[0].m_ref && report.m_ended && !report.m_ran;
+  const std::vector<SlotReport> reports = broker.Reports();
+  const auto returned = [&](const SlotReport& report) {
+    return report.m_ref == broker.Asks()[0].m_ref && report.m_ended && !report.m_may_have_run;
   };
   CHECK(std::count_if(reports.begin(), reports.end(), returned) == 1);
   // No second account of all that is held.
-  const auto resyncs = [](const PlaceBatch& batch) { return batch.m_resync; };
+  const auto resyncs = [](const SlotBatch& batch) { return batch.m_resync; };
   CHECK(std::count_if(broker.m_batches.begin(), broker.m_batches.end(), resyncs) == 1);
 }
 
@@ -114,7 +113,7 @@
   FakeBroker broker(rig);
   Pending call(rig, Request("/safe/", "i"));
   rig.RunUntil([&] { return !broker.Asks().empty(); });
-  Decide(rig, broker.Asks()[0].m_ref, PlaceVerdict::kQueued);
+  Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kQueued);
   rig.m_forwarder->Take(BrokerLost{});
   CHECK(call.Finish(rig).status() == 200);
 }
@@ -126,14 +125,14 @@
   FakeBroker broker(rig);
   Pending call(rig, Request("/safe/", "i"));
   rig.RunUntil([&] { return !broker.Asks().empty(); });
-  const PlaceRef ref = broker.Asks()[0].m_ref;
-  Decide(rig, ref, PlaceVerdict::kNoRoom);
+  const SlotRef ref = broker.Asks()[0].m_ref;
+  Decide(rig, ref, SlotVerdict::kNoRoom);
   CHECK(call.Finish(rig).status() == 503);
-  Decide(rig, ref, PlaceVerdict::kPlaced, "s0");
+  Decide(rig, ref, SlotVerdict::kPlaced, "s0");
   REQUIRE(broker.Reports().size() == 1);
   CHECK(broker.Reports()[0].m_ref == ref);
   CHECK(broker.Reports()[0].m_ended);
-  CHECK_FALSE(broker.Reports()[0].m_ran);
+  CHECK_FALSE(broker.Reports()[0].m_may_have_run);
   CHECK(server.requests().empty());
 }
 
@@ -147,10 +146,10 @@
   FakeBroker broker(rig);
   Pending call(rig, Request("/safe/", "i"));
   rig.RunUntil([&] { return !broker.Asks().empty(); });
-  Decide(rig, broker.Asks()[0].m_ref, PlaceVerdict::kPlaced, "s0");
+  Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kPlaced, "s0");
   REQUIRE(broker.Asks().size() == 2);
   CHECK(broker.Asks()[1].m_tried == std::vector<std::string>{"s0"});
-  Decide(rig, broker.Asks()[1].m_ref, PlaceVerdict::kPlaced, "s1");
+  Decide(rig, broker.Asks()[1].m_ref, SlotVerdict::kPlaced, "s1");
   CHECK(call.Finish(rig).body() == "new");
   CHECK(leaving.requests().empty());
 }
@@ -167,14 +166,14 @@
   FakeBroker broker(rig);
   Pending running(rig, Request("/safe/", "i"));
   rig.RunUntil([&] { return broker.Asks().size() == 1; });
-  const PlaceRef held = broker.Asks()[0].m_ref;
-  Decide(rig, held, PlaceVerdict::kPlaced, "s0");
+  const SlotRef held = broker.Asks()[0].m_ref;
+  Decide(rig, held, SlotVerdict::kPlaced, "s0");
   Pending waiting(rig, Request("/safe/", "j"));
   rig.RunUntil([&] { return broker.Asks().size() == 2; });
   broker.m_batches.clear();
   rig.m_forwarder->Take(BrokerFound{2});
   REQUIRE_FALSE(broker.m_batches.empty());
-  const PlaceBatch& first = broker.m_batches[0];
+  const SlotBatch& first = broker.m_batches[0];
   CHECK(first.m_resync);
   CHECK(first.m_epoch == 2);
   CHECK(first.m_instances == 4);
@@ -190,18 +189,19 @@
   Rig rig;
   rig.Register("s0", server);
   FakeBroker broker(rig);
-  PlaceRef ref = 0;
+  SlotRef ref = 0;
   {
     Pending call(rig, Request("/safe/", "i"));
     rig.RunUntil([&] { return !broker.Asks().empty(); });
     ref = broker.Asks()[0].m_ref;
-    Decide(rig, ref, PlaceVerdict::kQueued);
+    Decide(rig, ref, SlotVerdict::kQueued);
     call.Leave();
   }
   const auto withdrawn = [&] {
-    return std::any_of(
-        broker.m_batches.begin(), broker.m_batches.end(),
-        [ref](const PlaceBatch& batch) { return batch.m_withdrawn == std::vector<PlaceRef>{ref}; });
+    return std::any_of(broker.m_batches.begin(), broker.m_batches.end(),
+                       [ref](const SlotBatch& batch) {
+                         return batch.m_cancelled_requests == std::vector<SlotRef>{ref};
+                       });
   };
   rig.RunUntil(withdrawn);
   CHECK(withdrawn());
--- a/tests/evacuation_test.cc
+++ b/tests/evacuation_test.cc
@@ -5,8 +5,8 @@
 
 #include "fake_broker.h"
 #include "forwarder_rig.h"
-#include "place_rig.h"
 #include "poppyway/state.h"
+#include "slot_broker_fixture.h"
 
 namespace poppyway {
 namespace {
@@ -148,50 +148,50 @@
 
 // ---- The broker of places -----------------------------------------------------------------------
 
-PlaceServer Server(const std::string& id, const std::string& data_centre, bool evacuated) {
-  PlaceServer server = Engine(id, data_centre);
+BackendServer Server(const std::string& id, const std::string& data_centre, bool evacuated) {
+  BackendServer server = Engine(id, data_centre);
   server.m_region = data_centre;
   server.m_evacuated = evacuated;
   return server;
 }
 
-PlaceAsk Ask(PlaceRef ref) {
-  PlaceAsk ask = WantedPlace(ref);
-  ask.m_wait = kSecond;
-  return ask;
+SlotRequest Ask(SlotRef ref) {
+  SlotRequest slot_request = WantedPlace(ref);
+  slot_request.m_wait = kSecond;
+  return slot_request;
 }
 
-PlaceBroker Broker(const std::vector<PlaceServer>& servers) {
+SlotBroker Broker(const std::vector<BackendServer>& servers) {
   return BrokerFor({"a"}, servers, kStart - 10 * kSecond);
 }
 
-PlaceAnswer AskFor(PlaceBroker& broker, PlaceAsk ask, Instant now = kStart) {
-  return AskOnce(broker, "a", std::move(ask), now);
+SlotResponse AskFor(SlotBroker& broker, SlotRequest slot_request, Instant now = kStart) {
+  return AskOnce(broker, "a", std::move(slot_request), now);
 }
 
 TEST_CASE("servers of an evacuated data centre get nothing new, and what they run still counts") {
-  PlaceBroker broker = Broker({Server("e", "east", false), Server("w", "west", false)});
-  for (PlaceRef ref = 1; ref <= 4; ++ref)
-    CHECK(AskFor(broker, Ask(ref)).m_verdict == PlaceVerdict::kPlaced);
+  SlotBroker broker = Broker({Server("e", "east", false), Server("w", "west", false)});
+  for (SlotRef ref = 1; ref <= 4; ++ref)
+    CHECK(AskFor(broker, Ask(ref)).m_verdict == SlotVerdict::kPlaced);
   SetServers(broker, {Server("e", "east", true), Server("w", "west", false)});
-  const PlacePool& pool = broker.m_pools.at("engines");
-  CHECK(pool.m_views[0].m_others == 2);
+  const SlotPool& pool = broker.m_pools.at("engines");
+  CHECK(pool.m_views[0].m_other_in_flight == 2);
   // Both places at the evacuated server come free; who waits gets none of them.
-  CHECK(AskFor(broker, Ask(5)).m_verdict == PlaceVerdict::kQueued);
-  for (const auto& [ref, held] : std::unordered_map(broker.m_holders.at("a").m_held)) {
+  CHECK(AskFor(broker, Ask(5)).m_verdict == SlotVerdict::kQueued);
+  for (const auto& [ref, held] : std::unordered_map(broker.m_instance_slots.at("a").m_held)) {
     if (held.m_server != "e")
       continue;
-    PlaceReport report;
+    SlotReport report;
     report.m_ref = ref;
     report.m_ended = true;
-    std::vector<PlaceAnswer> out;
-    Report(broker, "a", report, kStart, out);
+    std::vector<SlotResponse> out;
+    ApplyReport(broker, "a", report, kStart, out);
     CHECK(out.empty());
   }
-  CHECK(broker.m_pools.at("engines").m_views[0].m_others == 0);
+  CHECK(broker.m_pools.at("engines").m_views[0].m_other_in_flight == 0);
   // Those places say nothing of how soon others come free.
   CHECK(broker.m_pools.at("engines").m_flow.m_freed == 0);
-  std::vector<PlaceAnswer> out;
+  std::vector<SlotResponse> out;
   SetServers(broker, {Server("e", "east", false), Server("w", "west", false)});
   TickBroker(broker, kStart, out);
   REQUIRE(out.size() == 1);
@@ -199,106 +199,106 @@
 }
 
 TEST_CASE("a pool that an evacuation has left no server refuses at once, also what waits") {
-  PlaceBroker broker = Broker({Server("e", "east", false)});
+  SlotBroker broker = Broker({Server("e", "east", false)});
   (void)AskFor(broker, Ask(1));
   (void)AskFor(broker, Ask(2));
-  CHECK(AskFor(broker, Ask(3)).m_verdict == PlaceVerdict::kQueued);
+  CHECK(AskFor(broker, Ask(3)).m_verdict == SlotVerdict::kQueued);
   SetServers(broker, {Server("e", "east", true)});
-  std::vector<PlaceAnswer> out;
+  std::vector<SlotResponse> out;
   TickBroker(broker, kStart, out);
   REQUIRE(out.size() == 1);
   CHECK(out[0].m_ref == 3);
-  CHECK(out[0].m_verdict == PlaceVerdict::kNoServer);
-  CHECK(broker.m_holders.at("a").m_waiting.empty());
-  CHECK(AskFor(broker, Ask(4)).m_verdict == PlaceVerdict::kNoServer);
+  CHECK(out[0].m_verdict == SlotVerdict::kNoServer);
+  CHECK(broker.m_instance_slots.at("a").m_waiting.empty());
+  CHECK(AskFor(broker, Ask(4)).m_verdict == SlotVerdict::kNoServer);
 }
 
 TEST_CASE("a server that leaves doesn't stand for what an evacuation has left") {
-  PlaceServer leaving = Server("w", "west", false);
+  BackendServer leaving = Server("w", "west", false);
   leaving.m_leaving = true;
-  PlaceBroker broker = Broker({Server("e", "east", true), leaving});
-  CHECK(AskFor(broker, Ask(1)).m_verdict == PlaceVerdict::kNoServer);
+  SlotBroker broker = Broker({Server("e", "east", true), leaving});
+  CHECK(AskFor(broker, Ask(1)).m_verdict == SlotVerdict::kNoServer);
 }
 
 TEST_CASE("what may be served only where all is evacuated is refused at once, other work goes on") {
-  PlaceBroker broker = Broker({Server("e", "east", true), Server("w", "west", false)});
-  PlaceAsk bound = Ask(1);
-  bound.m_homes = {true, {"east"}};
-  CHECK(AskFor(broker, bound).m_verdict == PlaceVerdict::kNoServer);
+  SlotBroker broker = Broker({Server("e", "east", true), Server("w", "west", false)});
+  SlotRequest bound = Ask(1);
+  bound.m_home_regions = {true, {"east"}};
+  CHECK(AskFor(broker, bound).m_verdict == SlotVerdict::kNoServer);
   CHECK(AskFor(broker, Ask(2)).m_server == "w");
 }
 
 TEST_CASE("what waits and may be served only where all is evacuated is refused at once") {
-  PlaceBroker broker = Broker({Server("e", "east", false), Server("w", "west", false)});
-  PlaceRef ref = 1;
-  while (AskFor(broker, Ask(ref)).m_verdict == PlaceVerdict::kPlaced)
+  SlotBroker broker = Broker({Server("e", "east", false), Server("w", "west", false)});
+  SlotRef ref = 1;
+  while (AskFor(broker, Ask(ref)).m_verdict == SlotVerdict::kPlaced)
     ++ref;
-  PlaceAsk bound = Ask(ref + 1);
-  bound.m_homes = {true, {"east"}};
-  REQUIRE(AskFor(broker, bound).m_verdict == PlaceVerdict::kQueued);
+  SlotRequest bound = Ask(ref + 1);
+  bound.m_home_regions = {true, {"east"}};
+  REQUIRE(AskFor(broker, bound).m_verdict == SlotVerdict::kQueued);
   SetServers(broker, {Server("e", "east", true), Server("w", "west", false)});
-  std::vector<PlaceAnswer> out;
+  std::vector<SlotResponse> out;
   TickBroker(broker, kStart, out);
   REQUIRE(out.size() == 1);
   CHECK(out[0].m_ref == ref + 1);
-  CHECK(out[0].m_verdict == PlaceVerdict::kNoServer);
+  CHECK(out[0].m_verdict == SlotVerdict::kNoServer);
 }
 
 TEST_CASE("half of what an evacuation has left stays in use, not half of the whole pool") {
-  std::vector<PlaceServer> servers;
+  std::vector<BackendServer> servers;
   for (int i = 0; i < 6; ++i)
     servers.push_back(Server("e" + std::to_string(i), "east", true));
   servers.push_back(Server("w0", "west", false));
   servers.push_back(Server("w1", "west", false));
-  PlaceBroker broker = Broker(servers);
-  PlacePool& pool = broker.m_pools.at("engines");
+  SlotBroker broker = Broker(servers);
+  SlotPool& pool = broker.m_pools.at("engines");
   pool.m_health[6].m_failures = 9;
-  pool.m_health[6].m_avoid_until = kStart + 5 * kSecond;
-  REQUIRE(Avoided(pool.m_health[6], kStart));
-  for (PlaceRef ref = 1; ref <= 2; ++ref)
+  pool.m_health[6].m_ejected_until = kStart + 5 * kSecond;
+  REQUIRE(IsEjected(pool.m_health[6], kStart));
+  for (SlotRef ref = 1; ref <= 2; ++ref)
     CHECK(AskFor(broker, Ask(ref)).m_server == "w1");
-  CHECK(AskFor(broker, Ask(3)).m_verdict == PlaceVerdict::kQueued);
+  CHECK(AskFor(broker, Ask(3)).m_verdict == SlotVerdict::kQueued);
 }
 
 TEST_CASE("work that moves to a version whose servers are all evacuated goes on with the others") {
-  PlaceServer target = Server("e", "east", true);
+  BackendServer target = Server("e", "east", true);
   target.m_version = "v2";
-  PlaceServer other = Server("w", "west", false);
+  BackendServer other = Server("w", "west", false);
   other.m_version = "v1";
-  PlaceBroker broker = Broker({target, other});
+  SlotBroker broker = Broker({target, other});
   SetRollouts(broker, {{"engines", {1, "v2", true, 0, 0}}}, ExposureBounds{});
   CHECK(AskFor(broker, Ask(1)).m_server == "w");
 }
 
 TEST_CASE("an evacuated server of a version on trial gets no trial request either") {
-  PlaceServer target = Server("e", "east", false);
+  BackendServer target = Server("e", "east", false);
   target.m_version = "v2";
-  PlaceServer other = Server("w", "west", false);
+  BackendServer other = Server("w", "west", false);
   other.m_version = "v1";
   other.m_slots = 100;
   for (const bool evacuated : {false, true}) {
     CAPTURE(evacuated);
     target.m_evacuated = evacuated;
-    PlaceBroker broker = Broker({target, other});
+    SlotBroker broker = Broker({target, other});
     SetRollouts(broker, {{"engines", {1, "v2", false, 0, 0}}}, ExposureBounds{});
     broker.m_pools.at("engines").m_trial->m_allowed = 5;
     int trials = 0;
-    for (PlaceRef ref = 1; ref <= 20; ++ref)
+    for (SlotRef ref = 1; ref <= 20; ++ref)
       trials += AskFor(broker, Ask(ref)).m_server == "e" ? 1 : 0;
     CHECK((trials > 0) == !evacuated);
   }
 }
 
 TEST_CASE("evacuating all other servers doesn't give a version on trial the whole work") {
-  PlaceServer target = Server("w", "west", false);
+  BackendServer target = Server("w", "west", false);
   target.m_version = "v2";
   target.m_slots = 100;
-  PlaceServer other = Server("e", "east", true);
+  BackendServer other = Server("e", "east", true);
   other.m_version = "v1";
-  PlaceBroker broker = Broker({target, other});
+  SlotBroker broker = Broker({target, other});
   SetRollouts(broker, {{"engines", {1, "v2", false, 0, 0}}}, ExposureBounds{});
-  for (PlaceRef ref = 1; ref <= 20; ++ref)
-    CHECK(AskFor(broker, Ask(ref)).m_verdict != PlaceVerdict::kPlaced);
+  for (SlotRef ref = 1; ref <= 20; ++ref)
+    CHECK(AskFor(broker, Ask(ref)).m_verdict != SlotVerdict::kPlaced);
 }
 
 // ---- An instance --------------------------------------------------------------------------------
@@ -317,18 +317,18 @@
   Pending call(rig, Request("/once/", "i"));
   rig.RunUntil([&] { return !broker.Asks().empty(); });
   REQUIRE(broker.Asks().size() == 1);
-  Decide(rig, broker.Asks()[0].m_ref, PlaceVerdict::kPlaced, "e");
+  Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kPlaced, "e");
   Evacuate(rig, 1);
   rig.RunUntil([&] { return broker.Asks().size() == 2; });
   REQUIRE(broker.Asks().size() == 2);
-  Decide(rig, broker.Asks()[1].m_ref, PlaceVerdict::kPlaced, "w");
+  Decide(rig, broker.Asks()[1].m_ref, SlotVerdict::kPlaced, "w");
   CHECK(call.Finish(rig).status() == 200);
   CHECK(east.requests().empty());
   CHECK(west.requests().size() == 1);
   // The first place was given back as one that ran nothing.
   REQUIRE(!broker.Reports().empty());
   CHECK(broker.Reports()[0].m_ended);
-  CHECK_FALSE(broker.Reports()[0].m_ran);
+  CHECK_FALSE(broker.Reports()[0].m_may_have_run);
 }
 
 TEST_CASE("a place that was given before the order and arrives after it isn't used") {
@@ -342,10 +342,10 @@
   rig.RunUntil([&] { return !broker.Asks().empty(); });
   REQUIRE(broker.Asks().size() == 1);
   Evacuate(rig, 1);
-  Decide(rig, broker.Asks()[0].m_ref, PlaceVerdict::kPlaced, "e");
+  Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kPlaced, "e");
   REQUIRE(broker.Asks().size() == 2);
   CHECK(broker.Asks()[1].m_tried == std::vector<std::string>{"e"});
-  Decide(rig, broker.Asks()[1].m_ref, PlaceVerdict::kPlaced, "w");
+  Decide(rig, broker.Asks()[1].m_ref, SlotVerdict::kPlaced, "w");
   CHECK(call.Finish(rig).status() == 200);
   CHECK(east.requests().empty());
 }
--- a/tests/event_size_test.cc
+++ b/tests/event_size_test.cc
@@ -8,17 +8,17 @@
 namespace {
 
 TEST_CASE("the size of events is learned from estimates that are off by factors both ways") {
-  double size = LearnEventSize(0, 70, 10, 0.05);
+  double size = UpdateTokensPerEvent(0, 70, 10, 0.05);
   CHECK(size == Approx(7));
   for (int i = 0; i < 400; ++i)
-    size = LearnEventSize(size, i % 2 == 0 ? 20 * 4 : 20 / 4, 4, 0.02);
+    size = UpdateTokensPerEvent(size, i % 2 == 0 ? 20 * 4 : 20 / 4, 4, 0.02);
   CHECK(size == Approx(5).epsilon(0.1));
 }
 
 TEST_CASE("an answer without events, or without an estimate, teaches nothing of their size") {
-  CHECK(LearnEventSize(5, 0, 4, 0.5) == 5);
-  CHECK(LearnEventSize(5, 20, 0, 0.5) == 5);
-  CHECK(LearnEventSize(0, -1, 4, 0.5) == 0);
+  CHECK(UpdateTokensPerEvent(5, 0, 4, 0.5) == 5);
+  CHECK(UpdateTokensPerEvent(5, 20, 0, 0.5) == 5);
+  CHECK(UpdateTokensPerEvent(0, -1, 4, 0.5) == 0);
 }
 
 }  // namespace
--- a/tests/fake_broker.h
+++ b/tests/fake_broker.h
@@ -12,44 +12,46 @@
 
 /// Notes what the forwarder sends; the test answers.
 struct FakeBroker {
-  std::vector<PlaceBatch> m_batches;
+  std::vector<SlotBatch> m_batches;
   int m_silent = 0;
 
   explicit FakeBroker(Rig& rig, std::int64_t epoch = 1) {
-    rig.m_forwarder->SetBroker({[this](PlaceBatch batch) { m_batches.push_back(std::move(batch)); },
+    rig.m_forwarder->SetBroker({[this](SlotBatch batch) { m_batches.push_back(std::move(batch)); },
                                 [this] { ++m_silent; }});
     rig.m_forwarder->Take(FleetSize{4});
     rig.m_forwarder->Take(BrokerFound{epoch});
   }
-  [[nodiscard]] std::vector<PlaceAsk> Asks() const {
-    std::vector<PlaceAsk> asks;
-    for (const PlaceBatch& batch : m_batches)
-      asks.insert(asks.end(), batch.m_asks.begin(), batch.m_asks.end());
-    return asks;
+  [[nodiscard]] std::vector<SlotRequest> Asks() const {
+    std::vector<SlotRequest> slot_requests;
+    for (const SlotBatch& batch : m_batches)
+      slot_requests.insert(slot_requests.end(), batch.m_slot_requests.begin(),
+                           batch.m_slot_requests.end());
+    return slot_requests;
   }
-  [[nodiscard]] std::vector<PlaceRef> Withdrawn() const {
-    std::vector<PlaceRef> withdrawn;
-    for (const PlaceBatch& batch : m_batches)
-      withdrawn.insert(withdrawn.end(), batch.m_withdrawn.begin(), batch.m_withdrawn.end());
+  [[nodiscard]] std::vector<SlotRef> Withdrawn() const {
+    std::vector<SlotRef> withdrawn;
+    for (const SlotBatch& batch : m_batches)
+      withdrawn.insert(withdrawn.end(), batch.m_cancelled_requests.begin(),
+                       batch.m_cancelled_requests.end());
     return withdrawn;
   }
-  [[nodiscard]] std::vector<ServerWord> Words() const {
-    std::vector<ServerWord> words;
-    for (const PlaceBatch& batch : m_batches)
-      words.insert(words.end(), batch.m_words.begin(), batch.m_words.end());
-    return words;
+  [[nodiscard]] std::vector<ServerNotice> Words() const {
+    std::vector<ServerNotice> notices;
+    for (const SlotBatch& batch : m_batches)
+      notices.insert(notices.end(), batch.m_notices.begin(), batch.m_notices.end());
+    return notices;
   }
-  [[nodiscard]] std::vector<PlaceReport> Reports() const {
-    std::vector<PlaceReport> reports;
-    for (const PlaceBatch& batch : m_batches)
+  [[nodiscard]] std::vector<SlotReport> Reports() const {
+    std::vector<SlotReport> reports;
+    for (const SlotBatch& batch : m_batches)
       reports.insert(reports.end(), batch.m_reports.begin(), batch.m_reports.end());
     return reports;
   }
 };
 
 /// The broker's answer to one place request.
-inline void Decide(Rig& rig, PlaceRef ref, PlaceVerdict verdict, const std::string& server = "") {
-  PlaceAnswer answer;
+inline void Decide(Rig& rig, SlotRef ref, SlotVerdict verdict, const std::string& server = "") {
+  SlotResponse answer;
   answer.m_ref = ref;
   answer.m_verdict = verdict;
   answer.m_server = server;
--- a/tests/forwarder_lives_test.cc
+++ b/tests/forwarder_restarts_test.cc
@@ -23,9 +23,9 @@
   return {AwaitClose()};
 }
 
-void Live(Rig& rig, const std::string& id, const ScriptedServer& server, std::int64_t born) {
+void Live(Rig& rig, const std::string& id, const ScriptedServer& server, std::int64_t started_ms) {
   wire::ServerRecord record = rig.Record(id, server);
-  record.born = born;
+  record.born = started_ms;
   rig.m_forwarder->Take(ServersChanged{{record}});
 }
 
@@ -104,7 +104,7 @@
   CHECK(BackendOf(rig, "s0").m_in_flight == 1);
   Live(rig, "s0", server, 9);
   CHECK(BackendOf(rig, "s0").m_in_flight == 0);
-  CHECK(BackendOf(rig, "s0").m_reading_tokens == 0);
+  CHECK(BackendOf(rig, "s0").m_pending_prefill_tokens == 0);
   Pending next(rig, Request("/safe/", "b"), 700);
   AwaitRequests(rig, server, 2);
   CHECK(BackendOf(rig, "s0").m_in_flight == 1);
@@ -198,10 +198,10 @@
   FakeBroker broker(rig);
   Pending call(rig, Request("/once/", "a"));
   rig.RunUntil([&] { return !broker.Asks().empty(); });
-  PlaceAnswer answer;
+  SlotResponse answer;
   answer.m_ref = broker.Asks().at(0).m_ref;
   answer.m_server = "s0";
-  answer.m_born = 9;
+  answer.m_started_ms = 9;
   answer.m_address = "127.0.0.1";
   answer.m_port = new_place.port();
   rig.m_forwarder->Take(PlacesAnswered{1, {answer}});
@@ -224,7 +224,7 @@
   REQUIRE_FALSE(broker.m_batches.empty());
   REQUIRE(broker.m_batches[0].m_held.size() == 1);
   CHECK(broker.m_batches[0].m_held[0].m_server == "s0");
-  CHECK(broker.m_batches[0].m_held[0].m_born == 5);
+  CHECK(broker.m_batches[0].m_held[0].m_started_ms == 5);
   (void)call.Finish(rig);
   // The end of the call is told to the broker, which must outlive it.
   rig.RunUntil([&] { return rig.m_forwarder->state().m_forwardings.empty(); });
--- a/tests/homes_test.cc
+++ b/tests/homes_test.cc
@@ -5,7 +5,7 @@
 
 #include "fake_broker.h"
 #include "forwarder_rig.h"
-#include "place_rig.h"
+#include "slot_broker_fixture.h"
 
 namespace poppyway {
 namespace {
@@ -38,15 +38,15 @@
   const Result<RouteTable> table =
       decode(DocumentWithHomes(1, R"(["east","west"])", R"(["west"])"));
   REQUIRE(table);
-  CHECK(table->m_routes[0].m_homes == HomeRegions{true, {"east", "west"}});
-  CHECK(table->m_workspaces[0].m_homes == HomeRegions{true, {"west"}});
+  CHECK(table->m_routes[0].m_home_regions == HomeRegions{true, {"east", "west"}});
+  CHECK(table->m_workspaces[0].m_home_regions == HomeRegions{true, {"west"}});
   for (const std::string none : {"null", "[]"}) {
     const Result<RouteTable> unbound = decode(DocumentWithHomes(1, none, none));
     REQUIRE(unbound);
-    CHECK(unbound->m_routes[0].m_homes == HomeRegions{});
-    CHECK(unbound->m_workspaces[0].m_homes == HomeRegions{});
+    CHECK(unbound->m_routes[0].m_home_regions == HomeRegions{});
+    CHECK(unbound->m_workspaces[0].m_home_regions == HomeRegions{});
   }
-  CHECK(decode(Document(1, "key"))->m_routes[0].m_homes == HomeRegions{});
+  CHECK(decode(Document(1, "key"))->m_routes[0].m_home_regions == HomeRegions{});
   for (const std::string bad : {"\"east\"", "[1]", "[\"\"]", "{}", "[null]"}) {
     const Result<RouteTable> refused = decode(DocumentWithHomes(1, bad));
     REQUIRE_FALSE(refused);
@@ -107,8 +107,8 @@
   Pending call(rig, Request("/safe/", "j"));
   rig.RunUntil([&] { return !broker.Asks().empty(); });
   REQUIRE(broker.Asks().size() == 1);
-  CHECK(broker.Asks()[0].m_homes == HomeRegions{true, {"west"}});
-  Decide(rig, broker.Asks()[0].m_ref, PlaceVerdict::kNoServer);
+  CHECK(broker.Asks()[0].m_home_regions == HomeRegions{true, {"west"}});
+  Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kNoServer);
   CHECK(call.Finish(rig).body().starts_with("no_backend"));
   CHECK(near.requests().empty());
 }
@@ -186,17 +186,17 @@
   Pending call(rig, Request("/once/", "i"));
   rig.RunUntil([&] { return !broker.Asks().empty(); });
   REQUIRE(broker.Asks().size() == 1);
-  Decide(rig, broker.Asks()[0].m_ref, PlaceVerdict::kQueued);
+  Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kQueued);
   rig.Adopt(2, DocumentWithHomes(2, "null", R"(["west"])"));
-  CHECK(broker.Withdrawn() == std::vector<PlaceRef>{broker.Asks()[0].m_ref});
+  CHECK(broker.Withdrawn() == std::vector<SlotRef>{broker.Asks()[0].m_ref});
   REQUIRE(broker.Asks().size() == 2);
-  CHECK(broker.Asks()[1].m_homes == HomeRegions{true, {"west"}});
+  CHECK(broker.Asks()[1].m_home_regions == HomeRegions{true, {"west"}});
   // A place from before the change crosses the word of it: it goes back unused.
-  Decide(rig, broker.Asks()[0].m_ref, PlaceVerdict::kPlaced, "s0");
+  Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kPlaced, "s0");
   REQUIRE(broker.Reports().size() == 1);
   CHECK(broker.Reports()[0].m_ended);
-  CHECK_FALSE(broker.Reports()[0].m_ran);
-  Decide(rig, broker.Asks()[1].m_ref, PlaceVerdict::kPlaced, "s1");
+  CHECK_FALSE(broker.Reports()[0].m_may_have_run);
+  Decide(rig, broker.Asks()[1].m_ref, SlotVerdict::kPlaced, "s1");
   CHECK(call.Finish(rig).status() == 200);
   CHECK(near.requests().empty());
   CHECK(far.requests().size() == 1);
@@ -246,9 +246,9 @@
   Pending call(rig, Request("/once/", "i"));
   rig.RunUntil([&] { return !broker.Asks().empty(); });
   REQUIRE(broker.Asks().size() == 1);
-  Decide(rig, broker.Asks()[0].m_ref, PlaceVerdict::kPlaced, "s0");
+  Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kPlaced, "s0");
   REQUIRE(broker.Asks().size() == 2);
-  Decide(rig, broker.Asks()[1].m_ref, PlaceVerdict::kPlaced, "s1");
+  Decide(rig, broker.Asks()[1].m_ref, SlotVerdict::kPlaced, "s1");
   CHECK(call.Finish(rig).status() == 200);
   CHECK(near.requests().empty());
   CHECK(far.requests().size() == 1);
@@ -265,91 +265,91 @@
   rig.RunUntil([&] { return !broker.Asks().empty(); });
   REQUIRE(broker.Asks().size() == 1);
   // The connection to s0 is begun here and comes up when the loop runs next.
-  Decide(rig, broker.Asks()[0].m_ref, PlaceVerdict::kPlaced, "s0");
+  Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kPlaced, "s0");
   rig.Adopt(2, DocumentWithHomes(2, R"(["west"])"));
   rig.RunUntil([&] { return broker.Asks().size() == 2; });
   REQUIRE(broker.Asks().size() == 2);
-  CHECK(broker.Asks()[1].m_homes == HomeRegions{true, {"west"}});
-  Decide(rig, broker.Asks()[1].m_ref, PlaceVerdict::kPlaced, "s1");
+  CHECK(broker.Asks()[1].m_home_regions == HomeRegions{true, {"west"}});
+  Decide(rig, broker.Asks()[1].m_ref, SlotVerdict::kPlaced, "s1");
   CHECK(call.Finish(rig).status() == 200);
   CHECK(near.requests().empty());
 }
 
 // ---- At the broker -----------------------------------------------------------------------------
 
-PlaceServer ServerAt(const std::string& id, const std::string& data_centre) {
-  PlaceServer server = Engine(id, data_centre);
+BackendServer ServerAt(const std::string& id, const std::string& data_centre) {
+  BackendServer server = Engine(id, data_centre);
   server.m_region = data_centre == "e1" ? "east" : "west";
   return server;
 }
 
-PlaceBroker BrokerWith(const std::vector<PlaceServer>& servers) {
+SlotBroker BrokerWith(const std::vector<BackendServer>& servers) {
   return BrokerFor({"a"}, servers);
 }
 
-PlaceAsk Bound(PlaceRef ref, const std::string& region) {
-  PlaceAsk ask = WantedPlace(ref);
-  ask.m_data_centre = "e1";
-  ask.m_homes = {true, {region}};
-  return ask;
+SlotRequest Bound(SlotRef ref, const std::string& region) {
+  SlotRequest slot_request = WantedPlace(ref);
+  slot_request.m_data_centre = "e1";
+  slot_request.m_home_regions = {true, {region}};
+  return slot_request;
 }
 
-PlaceAnswer AskFor(PlaceBroker& broker, const PlaceAsk& ask, Instant now = kStart) {
-  std::vector<PlaceAnswer> out;
-  Ask(broker, "a", ask, now, out);
+SlotResponse AskFor(SlotBroker& broker, const SlotRequest& slot_request, Instant now = kStart) {
+  std::vector<SlotResponse> out;
+  RequestSlot(broker, "a", slot_request, now, out);
   return out.at(0);
 }
 
 TEST_CASE("the broker gives places at home only, and has the rest wait for one there") {
-  PlaceBroker broker = BrokerWith({ServerAt("s0", "e1"), ServerAt("s1", "w1")});
+  SlotBroker broker = BrokerWith({ServerAt("s0", "e1"), ServerAt("s1", "w1")});
   CHECK(AskFor(broker, Bound(1, "west")).m_server == "s1");
   CHECK(AskFor(broker, Bound(2, "west")).m_server == "s1");
-  CHECK(AskFor(broker, Bound(3, "west")).m_verdict == PlaceVerdict::kQueued);
-  PlaceReport end;
+  CHECK(AskFor(broker, Bound(3, "west")).m_verdict == SlotVerdict::kQueued);
+  SlotReport end;
   end.m_ref = 1;
   end.m_ended = true;
-  std::vector<PlaceAnswer> out;
-  Report(broker, "a", end, kStart, out);
+  std::vector<SlotResponse> out;
+  ApplyReport(broker, "a", end, kStart, out);
   REQUIRE(out.size() == 1);
   CHECK(out[0].m_ref == 3);
   CHECK(out[0].m_server == "s1");
 }
 
 TEST_CASE("the broker refuses at once what has no server at home, and charges nothing") {
-  PlaceBroker broker = BrokerWith({ServerAt("s0", "e1")});
-  PlaceAsk ask = Bound(1, "east");
-  ask.m_workspace = "north";
-  ask.m_quota.m_cost = 100;
-  ask.m_limit = {1'000, 1'000};
-  CHECK(AskFor(broker, ask).m_verdict == PlaceVerdict::kPlaced);
+  SlotBroker broker = BrokerWith({ServerAt("s0", "e1")});
+  SlotRequest slot_request = Bound(1, "east");
+  slot_request.m_workspace = "north";
+  slot_request.m_quota.m_cost = 100;
+  slot_request.m_limit = {1'000, 1'000};
+  CHECK(AskFor(broker, slot_request).m_verdict == SlotVerdict::kPlaced);
   const double left = broker.m_limits.at("north").m_tokens;
-  ask.m_ref = 2;
-  ask.m_homes = {true, {"west"}};
-  CHECK(AskFor(broker, ask).m_verdict == PlaceVerdict::kNoServer);
+  slot_request.m_ref = 2;
+  slot_request.m_home_regions = {true, {"west"}};
+  CHECK(AskFor(broker, slot_request).m_verdict == SlotVerdict::kNoServer);
   CHECK(broker.m_limits.at("north").m_tokens == left);
-  PlaceServer leaving = ServerAt("s1", "w1");
+  BackendServer leaving = ServerAt("s1", "w1");
   leaving.m_leaving = true;
   SetServers(broker, {ServerAt("s0", "e1"), leaving});
-  CHECK(AskFor(broker, Bound(3, "west")).m_verdict == PlaceVerdict::kNoServer);
+  CHECK(AskFor(broker, Bound(3, "west")).m_verdict == SlotVerdict::kNoServer);
 }
 
 TEST_CASE("half of the servers at home stay in use, whatever the rest of the pool does") {
-  PlaceBroker broker = BrokerWith(
+  SlotBroker broker = BrokerWith(
       {ServerAt("s0", "e1"), ServerAt("s1", "e1"), ServerAt("s2", "w1"), ServerAt("s3", "w1")});
-  PlacePool& pool = broker.m_pools.at("engines");
+  SlotPool& pool = broker.m_pools.at("engines");
   for (std::size_t i = 2; i < 4; ++i)
-    pool.m_health[i] = Observe(pool.m_health[i], ServerSign::kUnreachable, kStart);
-  const PlaceAnswer answer = AskFor(broker, Bound(1, "west"));
-  CHECK(answer.m_verdict == PlaceVerdict::kPlaced);
+    pool.m_health[i] = Observe(pool.m_health[i], HealthSignal::kUnreachable, kStart);
+  const SlotResponse answer = AskFor(broker, Bound(1, "west"));
+  CHECK(answer.m_verdict == SlotVerdict::kPlaced);
   CHECK((answer.m_server == "s2" || answer.m_server == "s3"));
 }
 
 TEST_CASE("a version under trial gets only requests that are at home where it runs") {
-  PlaceServer target = ServerAt("s1", "e1");
+  BackendServer target = ServerAt("s1", "e1");
   target.m_version = "v2";
-  PlaceServer other = ServerAt("s0", "w1");
+  BackendServer other = ServerAt("s0", "w1");
   other.m_version = "v1";
-  PlaceBroker broker = BrokerWith({other, target});
+  SlotBroker broker = BrokerWith({other, target});
   SetRollouts(broker, {{"engines", {1, "v2", false, 0, 100}}}, {0.5, 100});
   broker.m_pools.at("engines").m_trial->m_sent = 0;
   CHECK(AskFor(broker, Bound(1, "west")).m_server == "s0");
--- a/tests/incarnation_test.cc
+++ b/tests/incarnation_test.cc
@@ -15,7 +15,7 @@
 constexpr auto kLeaving = wire::ServerStage::LEAVING;
 constexpr auto kGone = wire::ServerStage::GONE;
 
-wire::ServerRecord Heartbeat(std::int64_t born,
+wire::ServerRecord Heartbeat(std::int64_t started_ms,
                              std::int64_t sequence,
                              wire::ServerStage::type stage = kReady) {
   wire::ServerRecord record;
@@ -27,7 +27,7 @@
   record.slots = 4;
   record.stage = stage;
   record.sequence = sequence;
-  record.born = born;
+  record.born = started_ms;
   return record;
 }
 
--- a/tests/outage_watch_test.cc
+++ b/tests/outage_detector_test.cc
@@ -15,207 +15,217 @@
 constexpr Duration kSecond{1'000'000};
 const Instant kStart{100 * kSecond};
 
-OutageWatch WatchOf(const std::map<std::string, int>& servers) {
-  OutageWatch watch;
-  SetWatched(watch, servers);
-  return watch;
+OutageDetector WatchOf(const std::map<std::string, int>& servers) {
+  OutageDetector detector;
+  SetWatched(detector, servers);
+  return detector;
 }
 
-PathSign Lost(const std::string& centre, const std::string& server, const std::string& teller) {
+ReachabilityReport Lost(const std::string& centre,
+                        const std::string& server,
+                        const std::string& teller) {
   return {centre, server, teller, false, {}};
 }
 
-PathSign Heard(const std::string& centre, const std::string& server) {
+ReachabilityReport Heard(const std::string& centre, const std::string& server) {
   return {centre, server, "a", true, {}};
 }
 
 /// East was heard at the start, west 300 ms later.
-OutageWatch QuietEast() {
-  OutageWatch watch = WatchOf({{"east", 30}, {"west", 30}});
-  (void)Note(watch, Heard("east", "e9"), kStart);
-  (void)Note(watch, Heard("west", "w1"), kStart + 300 * kMs);
-  return watch;
+OutageDetector QuietEast() {
+  OutageDetector detector = WatchOf({{"east", 30}, {"west", 30}});
+  (void)RecordReport(detector, Heard("east", "e9"), kStart);
+  (void)RecordReport(detector, Heard("west", "w1"), kStart + 300 * kMs);
+  return detector;
 }
 
 /// East is suspect since 300 ms after the start.
-OutageWatch SuspectEast() {
-  OutageWatch watch = QuietEast();
+OutageDetector SuspectEast() {
+  OutageDetector detector = QuietEast();
   const Instant now = kStart + 300 * kMs;
   for (const std::string server : {"e1", "e2", "e3"})
-    (void)Note(watch, Lost("east", server, server == "e1" ? "a" : "b"), now);
-  return watch;
+    (void)RecordReport(detector, Lost("east", server, server == "e1" ? "a" : "b"), now);
+  return detector;
 }
 
 TEST_CASE("three silent servers by the word of two instances make a data centre suspect") {
-  OutageWatch watch = QuietEast();
+  OutageDetector detector = QuietEast();
   const Instant now = kStart + 300 * kMs;
-  CHECK(Note(watch, Lost("east", "e1", "a"), now).m_change == OutageChange::kNone);
-  CHECK(Note(watch, Lost("east", "e2", "b"), now).m_change == OutageChange::kNone);
-  CHECK_FALSE(IsSuspect(watch, "east"));
-  const OutageNews news = Note(watch, Lost("east", "e3", "b"), now);
-  CHECK(news.m_change == OutageChange::kSuspect);
-  CHECK(news.m_lost == 3);
-  CHECK(news.m_tellers == 2);
-  CHECK(IsSuspect(watch, "east"));
-  CHECK(IsLost(watch, "east", "e7"));
-  CHECK_FALSE(IsSuspect(watch, "west"));
+  CHECK(RecordReport(detector, Lost("east", "e1", "a"), now).m_transition ==
+        OutageTransition::kNone);
+  CHECK(RecordReport(detector, Lost("east", "e2", "b"), now).m_transition ==
+        OutageTransition::kNone);
+  CHECK_FALSE(IsDataCentreSuspect(detector, "east"));
+  const OutageEvent event = RecordReport(detector, Lost("east", "e3", "b"), now);
+  CHECK(event.m_transition == OutageTransition::kSuspect);
+  CHECK(event.m_unreachable_servers == 3);
+  CHECK(event.m_reporters == 2);
+  CHECK(IsDataCentreSuspect(detector, "east"));
+  CHECK(IsServerSuspect(detector, "east", "e7"));
+  CHECK_FALSE(IsDataCentreSuspect(detector, "west"));
 }
 
 TEST_CASE("the word of one instance isn't enough for a broker, and is for the instance itself") {
   const Instant now = kStart + 300 * kMs;
-  OutageWatch pooled = QuietEast();
-  OutageWatch own = QuietEast();
-  own.m_least_tellers = OwnOutageWatch().m_least_tellers;
+  OutageDetector pooled = QuietEast();
+  OutageDetector own = QuietEast();
+  own.m_min_reporters = LocalOutageDetector().m_min_reporters;
   for (const std::string server : {"e1", "e2", "e3", "e4"}) {
-    (void)Note(pooled, Lost("east", server, "a"), now);
-    (void)Note(own, Lost("east", server, "a"), now);
+    (void)RecordReport(pooled, Lost("east", server, "a"), now);
+    (void)RecordReport(own, Lost("east", server, "a"), now);
   }
-  CHECK_FALSE(IsSuspect(pooled, "east"));
-  CHECK(IsSuspect(own, "east"));
+  CHECK_FALSE(IsDataCentreSuspect(pooled, "east"));
+  CHECK(IsDataCentreSuspect(own, "east"));
 }
 
 TEST_CASE("a data centre that is heard meanwhile isn't lost") {
-  OutageWatch watch = QuietEast();
+  OutageDetector detector = QuietEast();
   for (int i = 0; i < 60; ++i) {
     const Instant now = kStart + (300 + 10 * i) * kMs;
-    (void)Note(watch, Lost("east", "e" + std::to_string(i % 29), i % 2 == 0 ? "a" : "b"), now);
-    (void)Note(watch, Heard("west", "w1"), now);
+    (void)RecordReport(detector, Lost("east", "e" + std::to_string(i % 29), i % 2 == 0 ? "a" : "b"),
+                       now);
+    (void)RecordReport(detector, Heard("west", "w1"), now);
     if (i % 10 == 0)
-      (void)Note(watch, Heard("east", "e29"), now);
+      (void)RecordReport(detector, Heard("east", "e29"), now);
   }
-  CHECK_FALSE(IsSuspect(watch, "east"));
+  CHECK_FALSE(IsDataCentreSuspect(detector, "east"));
 }
 
 TEST_CASE("two crashed servers are no lost data centre, however often they are met") {
-  OutageWatch watch = WatchOf({{"east", 2}, {"west", 30}});
-  (void)Note(watch, Heard("east", "e1"), kStart);
+  OutageDetector detector = WatchOf({{"east", 2}, {"west", 30}});
+  (void)RecordReport(detector, Heard("east", "e1"), kStart);
   for (int i = 1; i < 50; ++i) {
     const Instant now = kStart + 100 * i * kMs;
-    (void)Note(watch, Heard("west", "w1"), now);
-    (void)Note(watch, Lost("east", i % 2 == 0 ? "e1" : "e2", i % 3 == 0 ? "a" : "b"), now);
+    (void)RecordReport(detector, Heard("west", "w1"), now);
+    (void)RecordReport(detector, Lost("east", i % 2 == 0 ? "e1" : "e2", i % 3 == 0 ? "a" : "b"),
+                       now);
   }
-  CHECK_FALSE(IsSuspect(watch, "east"));
+  CHECK_FALSE(IsDataCentreSuspect(detector, "east"));
 }
 
 TEST_CASE("without another data centre that is heard none is held to be lost") {
-  OutageWatch watch = WatchOf({{"east", 30}, {"west", 30}});
-  (void)Note(watch, Heard("east", "e1"), kStart);
-  (void)Note(watch, Heard("west", "w1"), kStart);
+  OutageDetector detector = WatchOf({{"east", 30}, {"west", 30}});
+  (void)RecordReport(detector, Heard("east", "e1"), kStart);
+  (void)RecordReport(detector, Heard("west", "w1"), kStart);
   for (int i = 0; i < 40; ++i) {
     const Instant now = kStart + (300 + i) * kMs;
     const std::string centre = i % 2 == 0 ? "east" : "west";
-    (void)Note(watch, Lost(centre, centre + std::to_string(i), i % 3 == 0 ? "a" : "b"), now);
+    (void)RecordReport(detector, Lost(centre, centre + std::to_string(i), i % 3 == 0 ? "a" : "b"),
+                       now);
   }
-  CHECK(watch.m_suspects == 0);
+  CHECK(detector.m_suspect_count == 0);
 }
 
 TEST_CASE("old losses count for nothing") {
-  OutageWatch watch = QuietEast();
+  OutageDetector detector = QuietEast();
   const Instant late = kStart + 4 * kSecond;
-  (void)Note(watch, Lost("east", "e1", "a"), kStart + 300 * kMs);
-  (void)Note(watch, Lost("east", "e2", "b"), kStart + 300 * kMs);
-  (void)Note(watch, Heard("west", "w1"), late);
-  (void)Note(watch, Lost("east", "e3", "b"), late);
-  CHECK_FALSE(IsSuspect(watch, "east"));
+  (void)RecordReport(detector, Lost("east", "e1", "a"), kStart + 300 * kMs);
+  (void)RecordReport(detector, Lost("east", "e2", "b"), kStart + 300 * kMs);
+  (void)RecordReport(detector, Heard("west", "w1"), late);
+  (void)RecordReport(detector, Lost("east", "e3", "b"), late);
+  CHECK_FALSE(IsDataCentreSuspect(detector, "east"));
 }
 
 TEST_CASE("a suspect data centre gets one trial at a time until one of its servers answers") {
-  OutageWatch watch = SuspectEast();
+  OutageDetector detector = SuspectEast();
   const Instant due = kStart + kSecond;
-  CHECK_FALSE(MayTry(watch, "east", "e1", kStart + 301 * kMs));
-  REQUIRE(MayTry(watch, "east", "e1", due));
-  BeginTrial(watch, "east", "e1", due);
-  CHECK_FALSE(MayTry(watch, "east", "e2", due));
-  (void)Note(watch, Lost("east", "e1", "a"), due + 300 * kMs);
-  CHECK_FALSE(MayTry(watch, "east", "e2", due + 301 * kMs));
-  CHECK(MayTry(watch, "east", "e2", due + 501 * kMs));
+  CHECK_FALSE(MayProbe(detector, "east", "e1", kStart + 301 * kMs));
+  REQUIRE(MayProbe(detector, "east", "e1", due));
+  BeginProbe(detector, "east", "e1", due);
+  CHECK_FALSE(MayProbe(detector, "east", "e2", due));
+  (void)RecordReport(detector, Lost("east", "e1", "a"), due + 300 * kMs);
+  CHECK_FALSE(MayProbe(detector, "east", "e2", due + 301 * kMs));
+  CHECK(MayProbe(detector, "east", "e2", due + 501 * kMs));
   // One whose end nobody tells doesn't keep others out for long.
-  BeginTrial(watch, "east", "e2", due + 501 * kMs);
-  CHECK(MayTry(watch, "east", "e3", due + 2 * kSecond));
+  BeginProbe(detector, "east", "e2", due + 501 * kMs);
+  CHECK(MayProbe(detector, "east", "e3", due + 2 * kSecond));
 }
 
 TEST_CASE("after its first answer a data centre opens server by server") {
-  OutageWatch watch = SuspectEast();
+  OutageDetector detector = SuspectEast();
   const Instant now = kStart + kSecond;
-  BeginTrial(watch, "east", "e1", now);
-  CHECK(Note(watch, Heard("east", "e1"), now + 50 * kMs).m_change == OutageChange::kHeard);
+  BeginProbe(detector, "east", "e1", now);
+  CHECK(RecordReport(detector, Heard("east", "e1"), now + 50 * kMs).m_transition ==
+        OutageTransition::kServerResponded);
   const Instant next = now + 51 * kMs;
-  CHECK_FALSE(IsLost(watch, "east", "e1"));
-  CHECK(IsLost(watch, "east", "e2"));
+  CHECK_FALSE(IsServerSuspect(detector, "east", "e1"));
+  CHECK(IsServerSuspect(detector, "east", "e2"));
   int trials = 0;
   for (int i = 2; i <= 30; ++i) {
     const std::string server = "e" + std::to_string(i);
-    if (!MayTry(watch, "east", server, next))
+    if (!MayProbe(detector, "east", server, next))
       continue;
-    BeginTrial(watch, "east", server, next);
+    BeginProbe(detector, "east", server, next);
     ++trials;
   }
   CHECK(trials == 2);
 }
 
 TEST_CASE("once all servers answered, or no loss was met for a second, the suspicion is over") {
-  OutageNews news;
-  OutageWatch all = WatchOf({{"east", 4}, {"west", 30}});
-  (void)Note(all, Heard("west", "w1"), kStart);
+  OutageEvent event;
+  OutageDetector all = WatchOf({{"east", 4}, {"west", 30}});
+  (void)RecordReport(all, Heard("west", "w1"), kStart);
   for (const std::string server : {"e1", "e2", "e3"})
-    (void)Note(all, Lost("east", server, server == "e1" ? "a" : "b"), kStart);
-  REQUIRE(IsSuspect(all, "east"));
+    (void)RecordReport(all, Lost("east", server, server == "e1" ? "a" : "b"), kStart);
+  REQUIRE(IsDataCentreSuspect(all, "east"));
   for (int i = 1; i <= 4; ++i)
-    (void)Note(all, Heard("east", "e" + std::to_string(i)), kStart + 500 * kMs);
-  CHECK(Settle(all, kStart + 501 * kMs, news));
-  CHECK(news.m_change == OutageChange::kOver);
-  CHECK_FALSE(Settle(all, kStart + 501 * kMs, news));
-
-  OutageWatch some = SuspectEast();
-  CHECK_FALSE(Settle(some, kStart + 5 * kSecond, news));
-  (void)Note(some, Heard("east", "e1"), kStart + kSecond);
-  CHECK_FALSE(Settle(some, kStart + kSecond, news));
-  (void)Note(some, Heard("east", "e1"), kStart + 1'900 * kMs);
-  CHECK(Settle(some, kStart + 2'100 * kMs, news));
+    (void)RecordReport(all, Heard("east", "e" + std::to_string(i)), kStart + 500 * kMs);
+  CHECK(EndRecoveredOutage(all, kStart + 501 * kMs, event));
+  CHECK(event.m_transition == OutageTransition::kRecovered);
+  CHECK_FALSE(EndRecoveredOutage(all, kStart + 501 * kMs, event));
+
+  OutageDetector some = SuspectEast();
+  CHECK_FALSE(EndRecoveredOutage(some, kStart + 5 * kSecond, event));
+  (void)RecordReport(some, Heard("east", "e1"), kStart + kSecond);
+  CHECK_FALSE(EndRecoveredOutage(some, kStart + kSecond, event));
+  (void)RecordReport(some, Heard("east", "e1"), kStart + 1'900 * kMs);
+  CHECK(EndRecoveredOutage(some, kStart + 2'100 * kMs, event));
 }
 
 TEST_CASE("a failure of a request sent before its server came back says nothing of it") {
-  OutageWatch watch = SuspectEast();
+  OutageDetector detector = SuspectEast();
   const Instant back = kStart + kSecond;
-  (void)Note(watch, Heard("east", "e1"), back);
-  CHECK(BeforeReturn(watch, "east", "e1", back - 100 * kMs));
-  CHECK_FALSE(BeforeReturn(watch, "east", "e1", back + 100 * kMs));
-  CHECK_FALSE(BeforeReturn(watch, "east", "e2", back - 100 * kMs));
-  CHECK_FALSE(BeforeReturn(watch, "east", "e1", Instant{}));
+  (void)RecordReport(detector, Heard("east", "e1"), back);
+  CHECK(SentBeforeRecovery(detector, "east", "e1", back - 100 * kMs));
+  CHECK_FALSE(SentBeforeRecovery(detector, "east", "e1", back + 100 * kMs));
+  CHECK_FALSE(SentBeforeRecovery(detector, "east", "e2", back - 100 * kMs));
+  CHECK_FALSE(SentBeforeRecovery(detector, "east", "e1", Instant{}));
 }
 
 TEST_CASE("a server that registers anew while its data centre is suspect is in use") {
-  OutageWatch watch = SuspectEast();
-  Appear(watch, "east", "e31");
-  Appear(watch, "west", "w31");
-  CHECK_FALSE(IsLost(watch, "east", "e31"));
-  CHECK(IsLost(watch, "east", "e30"));
-  CHECK(IsSuspect(watch, "east"));
+  OutageDetector detector = SuspectEast();
+  Appear(detector, "east", "e31");
+  Appear(detector, "west", "w31");
+  CHECK_FALSE(IsServerSuspect(detector, "east", "e31"));
+  CHECK(IsServerSuspect(detector, "east", "e30"));
+  CHECK(IsDataCentreSuspect(detector, "east"));
   // It says nothing of the others: they get one trial at a time, and their losses don't count
   // against it; its own do.
   const Instant now = kStart + 600 * kMs;
-  (void)Note(watch, Heard("west", "w1"), now);
-  REQUIRE(MayTry(watch, "east", "e4", now));
-  BeginTrial(watch, "east", "e4", now);
-  CHECK_FALSE(MayTry(watch, "east", "e5", now));
+  (void)RecordReport(detector, Heard("west", "w1"), now);
+  REQUIRE(MayProbe(detector, "east", "e4", now));
+  BeginProbe(detector, "east", "e4", now);
+  CHECK_FALSE(MayProbe(detector, "east", "e5", now));
   for (const std::string server : {"e4", "e5", "e6"})
-    CHECK(Note(watch, Lost("east", server, "b"), now).m_change == OutageChange::kNone);
-  CHECK_FALSE(IsLost(watch, "east", "e31"));
-  (void)Note(watch, Lost("east", "e31", "b"), now);
-  CHECK(IsLost(watch, "east", "e31"));
+    CHECK(RecordReport(detector, Lost("east", server, "b"), now).m_transition ==
+          OutageTransition::kNone);
+  CHECK_FALSE(IsServerSuspect(detector, "east", "e31"));
+  (void)RecordReport(detector, Lost("east", "e31", "b"), now);
+  CHECK(IsServerSuspect(detector, "east", "e31"));
 }
 
 TEST_CASE("a data centre that is lost again while it returns is suspect as a whole again") {
-  OutageWatch watch = SuspectEast();
-  (void)Note(watch, Heard("east", "e1"), kStart + kSecond);
+  OutageDetector detector = SuspectEast();
+  (void)RecordReport(detector, Heard("east", "e1"), kStart + kSecond);
   const Instant now = kStart + 1'500 * kMs;
-  (void)Note(watch, Heard("west", "w1"), now);
-  OutageNews news;
+  (void)RecordReport(detector, Heard("west", "w1"), now);
+  OutageEvent event;
   for (const std::string server : {"e1", "e2", "e3"})
-    news = Note(watch, {"east", server, server == "e1" ? "a" : "b", false, now - 300 * kMs}, now);
-  CHECK(news.m_change == OutageChange::kSuspect);
-  CHECK(IsLost(watch, "east", "e1"));
-  CHECK(watch.m_suspects == 1);
+    event = RecordReport(detector,
+                         {"east", server, server == "e1" ? "a" : "b", false, now - 300 * kMs}, now);
+  CHECK(event.m_transition == OutageTransition::kSuspect);
+  CHECK(IsServerSuspect(detector, "east", "e1"));
+  CHECK(detector.m_suspect_count == 1);
 }
 
 // ---- The broker under load --------------------------------------------------------------------
@@ -225,18 +235,18 @@
 
 /// A report on its way to the broker.
 struct DueReport {
-  std::string m_holder;
+  std::string m_instance;
   std::string m_server;
-  PlaceReport m_report;
+  SlotReport m_report;
 };
 
 struct Load {
-  PlaceBroker m_broker;
+  SlotBroker m_broker;
   std::string m_dark;  ///< Nothing comes from servers of this data centre.
   std::mt19937 m_random{1};
   std::multimap<Instant, DueReport> m_due;
   std::map<std::string, int> m_sent;  ///< By data centre.
-  PlaceRef m_next = 1;
+  SlotRef m_next = 1;
   std::optional<Instant> m_suspected;
   int m_false_alarms = 0;
 };
@@ -248,8 +258,8 @@
 /// 95 servers in three data centres; instances of all three report.
 Load BeginLoad() {
   Load load;
-  load.m_broker = BeginBroker(1, 7, Duration(4'500'000), kStart - 2 * kSecond);
-  std::vector<PlaceServer> servers;
+  load.m_broker = MakeSlotBroker(1, 7, Duration(4'500'000), kStart - 2 * kSecond);
+  std::vector<BackendServer> servers;
   for (const auto& [centre, count] :
        std::map<std::string, int>{{"east", 32}, {"north", 32}, {"west", 31}}) {
     for (int i = 0; i < count; ++i)
@@ -261,77 +271,78 @@
   return load;
 }
 
-void SendTo(Load& load, const PlaceAnswer& placed, Fate fate, Instant now) {
+void SendTo(Load& load, const SlotResponse& placed, Fate fate, Instant now) {
   ++load.m_sent[CentreOf(placed.m_server)];
-  PlaceReport end;
+  SlotReport end;
   end.m_ref = placed.m_ref;
   end.m_ended = true;
   if (fate == Fate::kNotConnected) {
-    end.m_ran = false;
-    end.m_sign = ServerSign::kUnreachable;
-    load.m_due.insert({now + 300 * kMs, {placed.m_holder, placed.m_server, end}});
+    end.m_may_have_run = false;
+    end.m_health_signal = HealthSignal::kUnreachable;
+    load.m_due.insert({now + 300 * kMs, {placed.m_instance, placed.m_server, end}});
     return;
   }
-  PlaceReport first;
+  SlotReport first;
   first.m_ref = placed.m_ref;
-  first.m_first = 60 * kMs;
+  first.m_time_to_first_event = 60 * kMs;
   first.m_tokens_read = 600;
   if (fate == Fate::kAnswers)
-    load.m_due.insert({now + 60 * kMs, {placed.m_holder, placed.m_server, first}});
-  end.m_sign = fate == Fate::kFails ? ServerSign::kBad : ServerSign::kGood;
+    load.m_due.insert({now + 60 * kMs, {placed.m_instance, placed.m_server, first}});
+  end.m_health_signal = fate == Fate::kFails ? HealthSignal::kFailure : HealthSignal::kSuccess;
   end.m_failed = fate == Fate::kFails;
   end.m_service = fate == Fate::kFails ? Duration(0) : 400 * kMs;
   load.m_due.insert(
-      {now + (fate == Fate::kFails ? 20 : 400) * kMs, {placed.m_holder, placed.m_server, end}});
+      {now + (fate == Fate::kFails ? 20 : 400) * kMs, {placed.m_instance, placed.m_server, end}});
 }
 
-void AskOnce(Load& load, Instant now, std::vector<PlaceAnswer>& out) {
-  PlaceAsk ask;
-  ask.m_ref = load.m_next++;
-  ask.m_pool = "engines";
+void AskOnce(Load& load, Instant now, std::vector<SlotResponse>& out) {
+  SlotRequest slot_request;
+  slot_request.m_ref = load.m_next++;
+  slot_request.m_pool = "engines";
   const auto holder = std::uniform_int_distribution<int>(0, 79)(load.m_random);
-  ask.m_data_centre = holder < 30 ? "east" : (holder < 54 ? "north" : "west");
-  ask.m_shape.m_prompt_tokens = 600;
-  ask.m_shape.m_aim = 600 * kMs;
-  ask.m_shape.m_left = 10 * kSecond;
-  ask.m_expected_tokens = 100;
-  ask.m_wait = 200 * kMs;
-  Ask(load.m_broker, "i" + std::to_string(holder), ask, now, out);
+  slot_request.m_data_centre = holder < 30 ? "east" : (holder < 54 ? "north" : "west");
+  slot_request.m_shape.m_prompt_tokens = 600;
+  slot_request.m_shape.m_latency_target = 600 * kMs;
+  slot_request.m_shape.m_left = 10 * kSecond;
+  slot_request.m_expected_tokens = 100;
+  slot_request.m_wait = 200 * kMs;
+  RequestSlot(load.m_broker, "i" + std::to_string(holder), slot_request, now, out);
 }
 
 void TakeNews(Load& load, Instant now) {
-  for (const OutageNews& news : load.m_broker.m_outage_news) {
-    if (news.m_change == OutageChange::kSuspect && !load.m_suspected)
+  for (const OutageEvent& event : load.m_broker.m_outage_events) {
+    if (event.m_transition == OutageTransition::kSuspect && !load.m_suspected)
       load.m_suspected = now;
-    if (news.m_change == OutageChange::kSuspect)
+    if (event.m_transition == OutageTransition::kSuspect)
       ++load.m_false_alarms;
   }
-  load.m_broker.m_outage_news.clear();
+  load.m_broker.m_outage_events.clear();
 }
 
 /// What was on its way from a server that fell silent: its connection is given up after 1.5 s.
 bool FellSilent(Load& load, const DueReport& due, Instant now) {
-  const PlaceReport& report = due.m_report;
+  const SlotReport& report = due.m_report;
   if (load.m_dark.empty() || CentreOf(due.m_server) != load.m_dark)
     return false;
-  if (report.m_sign == ServerSign::kUnreachable || report.m_sign == ServerSign::kBad)
+  if (report.m_health_signal == HealthSignal::kUnreachable ||
+      report.m_health_signal == HealthSignal::kFailure)
     return false;
   if (!report.m_ended)
     return true;
-  PlaceReport silent;
+  SlotReport silent;
   silent.m_ref = report.m_ref;
   silent.m_ended = true;
-  silent.m_sign = ServerSign::kBad;
-  load.m_due.insert({now + 1'500 * kMs, {due.m_holder, due.m_server, silent}});
+  silent.m_health_signal = HealthSignal::kFailure;
+  load.m_due.insert({now + 1'500 * kMs, {due.m_instance, due.m_server, silent}});
   return true;
 }
 
-void TakeReports(Load& load, Instant now, std::vector<PlaceAnswer>& out) {
+void TakeReports(Load& load, Instant now, std::vector<SlotResponse>& out) {
   while (!load.m_due.empty() && load.m_due.begin()->first <= now) {
     const DueReport due = load.m_due.begin()->second;
     load.m_due.erase(load.m_due.begin());
     if (!FellSilent(load, due, now))
-      Report(load.m_broker, due.m_holder, due.m_report, now, out);
+      ApplyReport(load.m_broker, due.m_instance, due.m_report, now, out);
   }
 }
 
@@ -339,15 +350,15 @@
 template <typename FateOf>
 void Play(Load& load, Duration from, Duration until, FateOf fate_of) {
   for (Instant now = kStart + from; now < kStart + until; now += kMs) {
-    std::vector<PlaceAnswer> out;
+    std::vector<SlotResponse> out;
     TakeReports(load, now, out);
     if (std::bernoulli_distribution(0.35)(load.m_random))
       AskOnce(load, now, out);
     if ((now - kStart) % (20 * kMs) == Duration(0))
       TickBroker(load.m_broker, now, out);
-    for (const PlaceAnswer& answer : out) {
+    for (const SlotResponse& answer : out) {
       const bool dark = CentreOf(answer.m_server) == load.m_dark;
-      if (answer.m_verdict == PlaceVerdict::kPlaced)
+      if (answer.m_verdict == SlotVerdict::kPlaced)
         SendTo(load, answer, dark ? Fate::kNotConnected : fate_of(load, answer.m_server), now);
     }
     TakeNews(load, now);
@@ -376,12 +387,12 @@
 
 /// How many servers are kept from work for failures, their own or their data centre's.
 int CountKept(const Load& load, Instant now) {
-  const PlacePool& pool = load.m_broker.m_pools.at("engines");
+  const SlotPool& pool = load.m_broker.m_pools.at("engines");
   int kept = 0;
   for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
-    const PlaceServer& server = pool.m_servers[i];
-    const bool lost = IsLost(load.m_broker.m_outages, server.m_data_centre, server.m_id);
-    kept += lost || Avoided(pool.m_health[i], now) ? 1 : 0;
+    const BackendServer& server = pool.m_servers[i];
+    const bool lost = IsServerSuspect(load.m_broker.m_outages, server.m_data_centre, server.m_id);
+    kept += lost || IsEjected(pool.m_health[i], now) ? 1 : 0;
   }
   return kept;
 }
--- a/tests/outage_forward_test.cc
+++ b/tests/outage_forward_test.cc
@@ -9,12 +9,13 @@
 namespace {
 
 struct AskedBroker {
-  std::vector<PlaceAsk> m_asks;
+  std::vector<SlotRequest> m_slot_requests;
 
   explicit AskedBroker(Rig& rig) {
-    rig.m_forwarder->SetBroker({[this](const PlaceBatch& batch) {
-                                  m_asks.insert(m_asks.end(), batch.m_asks.begin(),
-                                                batch.m_asks.end());
+    rig.m_forwarder->SetBroker({[this](const SlotBatch& batch) {
+                                  m_slot_requests.insert(m_slot_requests.end(),
+                                                         batch.m_slot_requests.begin(),
+                                                         batch.m_slot_requests.end());
                                 },
                                 [] {}});
     rig.m_forwarder->Take(FleetSize{4});
@@ -31,10 +32,10 @@
   rig.m_forwarder->Take(ServersChanged{{record}});
 }
 
-void Place(Rig& rig, PlaceRef ref, const std::string& server) {
-  PlaceAnswer answer;
+void Place(Rig& rig, SlotRef ref, const std::string& server) {
+  SlotResponse answer;
   answer.m_ref = ref;
-  answer.m_verdict = PlaceVerdict::kPlaced;
+  answer.m_verdict = SlotVerdict::kPlaced;
   answer.m_server = server;
   rig.m_forwarder->Take(PlacesAnswered{1, {answer}});
 }
@@ -61,19 +62,19 @@
   RegisterIn(rig, "west", "s1", other);
   AskedBroker broker(rig);
   Pending call(rig, Request("/safe/", "i"));
-  rig.RunUntil([&] { return !broker.m_asks.empty(); });
-  REQUIRE(broker.m_asks.size() == 1);
-  Place(rig, broker.m_asks[0].m_ref, "s0");
+  rig.RunUntil([&] { return !broker.m_slot_requests.empty(); });
+  REQUIRE(broker.m_slot_requests.size() == 1);
+  Place(rig, broker.m_slot_requests[0].m_ref, "s0");
   rig.RunUntil([&] { return !silent.requests().empty(); });
   TellSuspects(rig, {"east"});
   RunFor(rig, Duration(150'000));
-  CHECK(broker.m_asks.size() == 1);  // It may still answer: it isn't silent for long.
-  rig.RunUntil([&] { return broker.m_asks.size() == 2; });
-  REQUIRE(broker.m_asks.size() == 2);
-  CHECK(broker.m_asks[1].m_tried == std::vector<std::string>{"s0"});
+  CHECK(broker.m_slot_requests.size() == 1);  // It may still answer: it isn't silent for long.
+  rig.RunUntil([&] { return broker.m_slot_requests.size() == 2; });
+  REQUIRE(broker.m_slot_requests.size() == 2);
+  CHECK(broker.m_slot_requests[1].m_tried == std::vector<std::string>{"s0"});
   rig.RunUntil([&] { return silent.peer_closes() == 1; });
   CHECK(silent.peer_closes() == 1);  // Before it runs elsewhere.
-  Place(rig, broker.m_asks[1].m_ref, "s1");
+  Place(rig, broker.m_slot_requests[1].m_ref, "s1");
   CHECK(call.Finish(rig).body() == "other");
 }
 
@@ -83,14 +84,14 @@
   RegisterIn(rig, "east", "s0", silent);
   AskedBroker broker(rig);
   Pending call(rig, Request("/once/", "i"));
-  rig.RunUntil([&] { return !broker.m_asks.empty(); });
-  REQUIRE(broker.m_asks.size() == 1);
-  Place(rig, broker.m_asks[0].m_ref, "s0");
+  rig.RunUntil([&] { return !broker.m_slot_requests.empty(); });
+  REQUIRE(broker.m_slot_requests.size() == 1);
+  Place(rig, broker.m_slot_requests[0].m_ref, "s0");
   rig.RunUntil([&] { return !silent.requests().empty(); });
   TellSuspects(rig, {"east"});
   RunFor(rig, Duration(600'000));
   CHECK(silent.peer_closes() == 0);
-  CHECK(broker.m_asks.size() == 1);
+  CHECK(broker.m_slot_requests.size() == 1);
   CHECK(call.Finish(rig).status() == 504);
 }
 
@@ -109,13 +110,13 @@
   RegisterIn(rig, "east", "s0", flowing);
   AskedBroker broker(rig);
   Pending call(rig, Request("/stream/", "i"));
-  rig.RunUntil([&] { return !broker.m_asks.empty(); });
-  REQUIRE(broker.m_asks.size() == 1);
-  Place(rig, broker.m_asks[0].m_ref, "s0");
+  rig.RunUntil([&] { return !broker.m_slot_requests.empty(); });
+  REQUIRE(broker.m_slot_requests.size() == 1);
+  Place(rig, broker.m_slot_requests[0].m_ref, "s0");
   TellSuspects(rig, {"east"});
   const Seen seen = call.Finish(rig);
   CHECK(seen.m_bytes.ends_with("0\r\n\r\n"));
-  CHECK(broker.m_asks.size() == 1);
+  CHECK(broker.m_slot_requests.size() == 1);
   CHECK(flowing.requests().size() == 1);
 }
 
@@ -128,11 +129,11 @@
   RegisterIn(rig, "west", "s1", west);
   AskedBroker broker(rig);
   const auto call = [&](const std::string& server) {
-    const std::size_t before = broker.m_asks.size();
+    const std::size_t before = broker.m_slot_requests.size();
     Pending one(rig, Request("/safe/", server + std::to_string(before)));
-    rig.RunUntil([&] { return broker.m_asks.size() > before; });
-    REQUIRE(broker.m_asks.size() == before + 1);
-    Place(rig, broker.m_asks.back().m_ref, server);
+    rig.RunUntil([&] { return broker.m_slot_requests.size() > before; });
+    REQUIRE(broker.m_slot_requests.size() == before + 1);
+    Place(rig, broker.m_slot_requests.back().m_ref, server);
     CHECK(one.Finish(rig).status() == 200);
   };
   call("s0");
@@ -157,13 +158,13 @@
     records.push_back(record);
   }
   rig.m_forwarder->Take(ServersChanged{records});
-  const OutageWatch& watch = rig.m_forwarder->state().m_outages;
-  for (int i = 0; i < 12 && !IsSuspect(watch, "east"); ++i) {
+  const OutageDetector& detector = rig.m_forwarder->state().m_outages;
+  for (int i = 0; i < 12 && !IsDataCentreSuspect(detector, "east"); ++i) {
     CHECK(Call(rig, Request("/safe/", "i" + std::to_string(i))).status() == 200);
     RunFor(rig, Duration(30'000));
   }
-  REQUIRE(IsSuspect(watch, "east"));
-  CHECK_FALSE(IsSuspect(watch, "west"));
+  REQUIRE(IsDataCentreSuspect(detector, "east"));
+  CHECK_FALSE(IsDataCentreSuspect(detector, "west"));
   int tried = 0;
   for (const auto& [id, backend] : rig.m_forwarder->state().m_backends)
     tried += backend.m_health.m_failures > 0 ? 1 : 0;
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -78,8 +78,8 @@
   CHECK(stream.m_stream);
   CHECK(stream.m_resumable);
   CHECK(stream.m_repeat == Repeat::kNever);
-  CHECK(stream.m_aim == Duration(1'200'000));
-  CHECK(stream.m_pause_aim == Duration(600'000));
+  CHECK(stream.m_latency_target == Duration(1'200'000));
+  CHECK(stream.m_gap_target == Duration(600'000));
   CHECK(stream.m_pools == std::vector<PoolWeight>{{"llm", 90}, {"app", 10}});
   CHECK(table.m_routes[1].m_repeat == Repeat::kAlways);
   CHECK(table.m_pools[0].m_engines);
@@ -221,7 +221,7 @@
   CHECK(request.m_prompt_tokens == 1460);
   CHECK(request.m_most_tokens == 80);
   CHECK(request.m_expected_tokens == 44);
-  CHECK(request.m_parts == std::vector<PrefixPart>{{0x5c1e07a2, 800}, {0xff, 60}});
+  CHECK(request.m_prompt_segments == std::vector<PromptSegment>{{0x5c1e07a2, 800}, {0xff, 60}});
   CHECK(request.m_resume_after == 12);
   std::vector<std::string> names;
   for (const Field& field : request.m_forwarded)
@@ -373,8 +373,8 @@
                                                       {"x-deadline-ms", "9223372036854775807"}});
   CHECK(odd.m_prompt_tokens == 0);
   CHECK(odd.m_most_tokens == 0);
-  REQUIRE(odd.m_parts.size() == 1);
-  CHECK(odd.m_parts[0].m_tokens == 0);
+  REQUIRE(odd.m_prompt_segments.size() == 1);
+  CHECK(odd.m_prompt_segments[0].m_tokens == 0);
   CHECK(odd.m_patience == std::chrono::hours(24));
   const CallerRequest past = dialect.m_decode_request({{"x-deadline-ms", "-9223372036854775807"}});
   CHECK(past.m_patience == Duration(0));
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -38,7 +38,7 @@
 
 Broker ReadyBroker(const std::vector<EngineBudget>& engines) {
   BrokerSettings settings;
-  settings.m_standing_share = 0;
+  settings.m_pregranted_share = 0;
   Broker broker = MakeBroker(settings, 1, At(0));
   broker.m_recovering_until = {};
   std::vector<std::string> ids;
@@ -59,14 +59,14 @@
 
 TEST_CASE("the highest tier is granted first over all gateways", "[policy][broker]") {
   Broker broker = ReadyBroker({{"e", 1, 10'000}});
-  const auto first = TakeDemand(broker, Demand("a", {Request(1, 2)}), At(0));
+  const auto first = HandleDemand(broker, Demand("a", {Request(1, 2)}), At(0));
   const std::vector<Credit> held = CreditsOf(first);
   REQUIRE(held.size() == 1);
-  CHECK(CreditsOf(TakeDemand(broker, Demand("a", {Request(2, 2)}), At(1))).empty());
-  CHECK(CreditsOf(TakeDemand(broker, Demand("b", {Request(3, 0)}), At(2))).empty());
+  CHECK(CreditsOf(HandleDemand(broker, Demand("a", {Request(2, 2)}), At(1))).empty());
+  CHECK(CreditsOf(HandleDemand(broker, Demand("b", {Request(3, 0)}), At(2))).empty());
   GatewayDemand finished = Demand("a", {Request(2, 2)});
   finished.m_uses.push_back({held[0].m_id, UseStage::kFinished, Duration(1000)});
-  const std::vector<Credit> next = CreditsOf(TakeDemand(broker, finished, At(3)));
+  const std::vector<Credit> next = CreditsOf(HandleDemand(broker, finished, At(3)));
   REQUIRE(next.size() == 1);
   CHECK(next[0].m_ref == 3);
 }
@@ -74,8 +74,8 @@
 TEST_CASE("a request that was granted is not granted again while its message is under way",
           "[policy][broker]") {
   Broker broker = ReadyBroker({{"e", 4, 10'000}});
-  CHECK(CreditsOf(TakeDemand(broker, Demand("a", {Request(1, 0)}), At(0))).size() == 1);
-  CHECK(CreditsOf(TakeDemand(broker, Demand("a", {Request(1, 0)}), At(1))).empty());
+  CHECK(CreditsOf(HandleDemand(broker, Demand("a", {Request(1, 0)}), At(0))).size() == 1);
+  CHECK(CreditsOf(HandleDemand(broker, Demand("a", {Request(1, 0)}), At(1))).empty());
 }
 
 TEST_CASE("a new broker grants nothing until every gateway told what it holds",
@@ -89,21 +89,21 @@
   GatewayDemand a = Demand("a", {Request(1, 0)});
   a.m_resync = true;
   a.m_held = {{77, 5, "e", 100}};
-  CHECK(CreditsOf(TakeDemand(broker, a, At(1))).empty());
+  CHECK(CreditsOf(HandleDemand(broker, a, At(1))).empty());
   GatewayDemand b = Demand("b", {Request(1, 0)});
   b.m_resync = true;
   b.m_held = {{78, 6, "e", 100}};
   // Both slots are taken by what the former broker granted.
-  CHECK(CreditsOf(TakeDemand(broker, b, At(2))).empty());
+  CHECK(CreditsOf(HandleDemand(broker, b, At(2))).empty());
   GatewayDemand done = Demand("b", {Request(1, 0)});
   done.m_uses.push_back({78, UseStage::kFinished, Duration(1000)});
-  CHECK(CreditsOf(TakeDemand(broker, done, At(3))).size() == 1);
+  CHECK(CreditsOf(HandleDemand(broker, done, At(3))).size() == 1);
 }
 
 TEST_CASE("a silent gateway's credits come back after its lease and margin", "[policy][broker]") {
   Broker broker = ReadyBroker({{"e", 1, 10'000}});
-  CHECK(CreditsOf(TakeDemand(broker, Demand("a", {Request(1, 0)}), At(0))).size() == 1);
-  (void)TakeDemand(broker, Demand("b", {Request(2, 0)}), At(3000));
+  CHECK(CreditsOf(HandleDemand(broker, Demand("a", {Request(1, 0)}), At(0))).size() == 1);
+  (void)HandleDemand(broker, Demand("b", {Request(2, 0)}), At(3000));
   CHECK(CreditsOf(TickBroker(broker, At(3400))).empty());
   CHECK(CreditsOf(TickBroker(broker, At(3500))).size() == 1);
 }
@@ -122,7 +122,7 @@
     GatewayDemand demand = Demand("a", items);
     if (held)
       demand.m_uses.push_back({held->m_id, UseStage::kFinished, Duration(1000)});
-    const std::vector<Credit> credits = CreditsOf(TakeDemand(broker, demand, At(turn)));
+    const std::vector<Credit> credits = CreditsOf(HandleDemand(broker, demand, At(turn)));
     REQUIRE(credits.size() == 1);
     held = credits[0];
     small_served += held->m_ref >= 200 ? 1 : 0;
@@ -137,7 +137,7 @@
   for (int i = 0; i < 6; ++i)
     items.push_back(Request(i + 1, 1, "w", 7000));
   items.push_back(Request(50, 1, "w", 50));
-  const std::vector<Credit> credits = CreditsOf(TakeDemand(broker, Demand("a", items), At(0)));
+  const std::vector<Credit> credits = CreditsOf(HandleDemand(broker, Demand("a", items), At(0)));
   const auto short_one =
       std::find_if(credits.begin(), credits.end(), [](const Credit& c) { return c.m_ref == 50; });
   REQUIRE(short_one != credits.end());
@@ -148,21 +148,21 @@
   Broker broker = ReadyBroker({{"e", 8, 1'000'000}});
   WaitingRequest request = Request(1, 0, "w", 80'000);  // Ten seconds of prefill.
   request.m_deadline = At(5000);
-  const auto batches = TakeDemand(broker, Demand("a", {request}), At(0));
+  const auto batches = HandleDemand(broker, Demand("a", {request}), At(0));
   CHECK(CreditsOf(batches).empty());
   REQUIRE(batches.size() == 1);
-  CHECK(batches[0].m_unreachable == std::vector<RequestRef>{1});
+  CHECK(batches[0].m_infeasible == std::vector<RequestRef>{1});
 }
 
 TEST_CASE("an engine that keeps failing is ejected, but never a whole pool", "[policy][broker]") {
   Broker broker =
       ReadyBroker({{"e0", 8, 10'000}, {"e1", 8, 10'000}, {"e2", 8, 10'000}, {"e3", 8, 10'000}});
   for (int i = 0; i < 60; ++i) {
-    const auto credits = CreditsOf(TakeDemand(broker, Demand("a", {Request(i + 1, 0)}), At(i)));
+    const auto credits = CreditsOf(HandleDemand(broker, Demand("a", {Request(i + 1, 0)}), At(i)));
     REQUIRE(credits.size() == 1);
     GatewayDemand failed = Demand("a", {});
     failed.m_uses.push_back({credits[0].m_id, UseStage::kFailed, Duration(0)});
-    (void)TakeDemand(broker, failed, At(i));
+    (void)HandleDemand(broker, failed, At(i));
   }
   const auto ejected =
       std::count_if(broker.m_engines.begin(), broker.m_engines.end(),
@@ -272,16 +272,16 @@
   Broker broker = ReadyBroker({{"e0", 8, 100'000}, {"e1", 8, 100'000}, {"e2", 8, 100'000}});
   WaitingRequest first = Request(1, 0, "w", 4000);
   first.m_prefixes = {11, 12, 13};
-  const Credit credit = CreditsOf(TakeDemand(broker, Demand("a", {first}), At(0)))[0];
+  const Credit credit = CreditsOf(HandleDemand(broker, Demand("a", {first}), At(0)))[0];
   const std::string home = credit.m_engine;
   GatewayDemand prefilled = Demand("a", {});
   prefilled.m_uses.push_back({credit.m_id, UseStage::kFirstToken, Duration(500'000)});
-  (void)TakeDemand(broker, prefilled, At(1));
+  (void)HandleDemand(broker, prefilled, At(1));
   WaitingRequest second = first;
   second.m_ref = 2;
-  CHECK(CreditsOf(TakeDemand(broker, Demand("a", {second}), At(2)))[0].m_engine == home);
+  CHECK(CreditsOf(HandleDemand(broker, Demand("a", {second}), At(2)))[0].m_engine == home);
   // While the first one's engine still prefills another long prompt, a free engine is faster.
   WaitingRequest third = first;
   third.m_ref = 3;
-  CHECK(CreditsOf(TakeDemand(broker, Demand("a", {third}), At(3)))[0].m_engine != home);
+  CHECK(CreditsOf(HandleDemand(broker, Demand("a", {third}), At(3)))[0].m_engine != home);
 }
--- a/tests/pool_simulation.h
+++ b/tests/pool_simulation.h
@@ -20,11 +20,11 @@
 
 /// \brief One kind of request as callers send it.
 struct SimulatedKind {
-  Tier m_rank = 0;
+  Tier m_route_tier = 0;
   double m_per_s = 0;
   double m_prompt_tokens = 0;
   double m_events = 0;  ///< Mean of an answer.
-  Duration m_aim{};
+  Duration m_latency_target{};
   Duration m_deadline{};
 };
 
@@ -41,9 +41,9 @@
   std::vector<SimulatedKind> m_kinds;
   int m_engines = 60;
   int m_slots = 9;
-  std::vector<double> m_event_ms = {25, 44,
-                                    120};  ///< By generation of engines, in turn, as full ones run.
-  double m_tokens_per_ms = 56.6;
+  std::vector<double> m_event_interval_ms = {
+      25, 44, 120};  ///< By generation of engines, in turn, as full ones run.
+  double m_prefill_tokens_per_ms = 56.6;
   double m_tokens_per_event = 7;
   int m_workspaces = 16;
   double m_length_spread = 1.2;  ///< Of the logarithm of an answer's length.
@@ -85,7 +85,7 @@
     Instant m_at{};
     std::int64_t m_number = 0;  ///< Events of one moment keep their order.
     What m_what = What::kTick;
-    PlaceRef m_ref = 0;
+    SlotRef m_ref = 0;
     bool operator<(const Event& b) const {
       return m_at != b.m_at ? m_at > b.m_at : m_number > b.m_number;
     }
@@ -112,8 +112,8 @@
 
   void Begin() {
     m_now = Instant(Duration(1'000'000));
-    m_broker = BeginBroker(1, m_day.m_seed, Duration(4'500'000), m_now - Duration(2'000'000));
-    std::vector<PlaceServer> servers;
+    m_broker = MakeSlotBroker(1, m_day.m_seed, Duration(4'500'000), m_now - Duration(2'000'000));
+    std::vector<BackendServer> servers;
     for (int i = 0; i < m_day.m_engines; ++i)
       servers.push_back({"s" + std::to_string(i), "engines", DataCentre(i), m_day.m_slots, false});
     SetServers(m_broker, servers);
@@ -136,7 +136,7 @@
     std::lognormal_distribution<double> error(0, m_day.m_hint_spread);
     std::lognormal_distribution<double> prompt(std::log(kind.m_prompt_tokens) - 0.32, 0.8);
     for (double at = gap(m_random); at < Seconds(m_day.m_span); at += gap(m_random)) {
-      const PlaceRef ref = static_cast<PlaceRef>(m_requests.size()) + 1;
+      const SlotRef ref = static_cast<SlotRef>(m_requests.size()) + 1;
       Request& request = m_requests.emplace_back();
       request.m_kind = &kind;
       request.m_workspace = "w" + std::to_string(m_random() % unsigned(m_day.m_workspaces));
@@ -150,21 +150,21 @@
     }
   }
 
-  void Schedule(Instant at, What what, PlaceRef ref) { m_events.push({at, ++m_number, what, ref}); }
+  void Schedule(Instant at, What what, SlotRef ref) { m_events.push({at, ++m_number, what, ref}); }
 
-  Request& At(PlaceRef ref) { return m_requests[static_cast<std::size_t>(ref) - 1]; }
+  Request& At(SlotRef ref) { return m_requests[static_cast<std::size_t>(ref) - 1]; }
 
   void Handle(const Event& event) {
-    std::vector<PlaceAnswer> out;
+    std::vector<SlotResponse> out;
     switch (event.m_what) {
       case What::kArrive:
         AskFor(event.m_ref, out);
         break;
       case What::kFirst: {
-        PlaceReport report{.m_ref = event.m_ref};
+        SlotReport report{.m_ref = event.m_ref};
         report.m_tokens_read = At(event.m_ref).m_prompt;
-        report.m_first = At(event.m_ref).m_first;
-        Report(m_broker, At(event.m_ref).m_data_centre, report, m_now, out);
+        report.m_time_to_first_event = At(event.m_ref).m_first;
+        ApplyReport(m_broker, At(event.m_ref).m_data_centre, report, m_now, out);
         break;
       }
       case What::kEnd:
@@ -174,62 +174,62 @@
         TickBroker(m_broker, m_now, out);
         break;
     }
-    for (const PlaceAnswer& answer : out)
+    for (const SlotResponse& answer : out)
       Take(answer);
   }
 
-  void AskFor(PlaceRef ref, std::vector<PlaceAnswer>& out) {
+  void AskFor(SlotRef ref, std::vector<SlotResponse>& out) {
     Request& request = At(ref);
     if (request.m_tries++ == 0)
       request.m_arrived = m_now;
-    PlaceAsk ask;
-    ask.m_ref = ref;
-    ask.m_pool = "engines";
-    ask.m_workspace = request.m_workspace;
-    ask.m_data_centre = request.m_data_centre;
-    ask.m_tier = 0;
-    ask.m_shape.m_tier = request.m_kind->m_rank;
-    ask.m_shape.m_prompt_tokens = request.m_prompt;
-    ask.m_shape.m_aim = request.m_kind->m_aim;
-    ask.m_shape.m_pause_aim = Duration(500'000);
-    ask.m_shape.m_left = request.m_arrived + request.m_kind->m_deadline - m_now;
-    ask.m_expected_tokens = request.m_hint;
-    ask.m_wait = ask.m_shape.m_left;
-    Ask(m_broker, request.m_data_centre, ask, m_now, out);
+    SlotRequest slot_request;
+    slot_request.m_ref = ref;
+    slot_request.m_pool = "engines";
+    slot_request.m_workspace = request.m_workspace;
+    slot_request.m_data_centre = request.m_data_centre;
+    slot_request.m_tier = 0;
+    slot_request.m_shape.m_tier = request.m_kind->m_route_tier;
+    slot_request.m_shape.m_prompt_tokens = request.m_prompt;
+    slot_request.m_shape.m_latency_target = request.m_kind->m_latency_target;
+    slot_request.m_shape.m_gap_target = Duration(500'000);
+    slot_request.m_shape.m_left = request.m_arrived + request.m_kind->m_deadline - m_now;
+    slot_request.m_expected_tokens = request.m_hint;
+    slot_request.m_wait = slot_request.m_shape.m_left;
+    RequestSlot(m_broker, request.m_data_centre, slot_request, m_now, out);
   }
 
-  void End(PlaceRef ref, std::vector<PlaceAnswer>& out) {
+  void End(SlotRef ref, std::vector<SlotResponse>& out) {
     const Request& request = At(ref);
-    PlaceReport report{.m_ref = ref};
+    SlotReport report{.m_ref = ref};
     report.m_ended = true;
-    report.m_sign = ServerSign::kGood;
+    report.m_health_signal = HealthSignal::kSuccess;
     report.m_events = request.m_length;
     report.m_span = Span(request);
     report.m_service = request.m_first + report.m_span;
-    report.m_pause = Duration(std::int64_t(3 * EventMs(request) * 1000));
-    Report(m_broker, request.m_data_centre, report, m_now, out);
+    report.m_longest_pause = Duration(std::int64_t(3 * EventMs(request) * 1000));
+    ApplyReport(m_broker, request.m_data_centre, report, m_now, out);
   }
 
   [[nodiscard]] double EventMs(const Request& request) const {
-    return m_day.m_event_ms[request.m_engine % m_day.m_event_ms.size()];
+    return m_day.m_event_interval_ms[request.m_engine % m_day.m_event_interval_ms.size()];
   }
   [[nodiscard]] Duration Span(const Request& request) const {
     return Duration(std::int64_t(double(request.m_length) * EventMs(request) * 1000));
   }
 
-  void Take(const PlaceAnswer& answer) {
+  void Take(const SlotResponse& answer) {
     Request& request = At(answer.m_ref);
-    if (answer.m_verdict == PlaceVerdict::kQueued)
+    if (answer.m_verdict == SlotVerdict::kQueued)
       return;
-    if (answer.m_verdict != PlaceVerdict::kPlaced) {
+    if (answer.m_verdict != SlotVerdict::kPlaced) {
       const bool again = request.m_tries == 1 && m_now + m_day.m_return < Deadline(request);
       if (again)
         Schedule(m_now + m_day.m_return, What::kArrive, answer.m_ref);
       return;
     }
     request.m_engine = std::stoul(answer.m_server.substr(1));
-    request.m_first =
-        Duration(std::int64_t((15 + double(request.m_prompt) / m_day.m_tokens_per_ms) * 1000));
+    request.m_first = Duration(
+        std::int64_t((15 + double(request.m_prompt) / m_day.m_prefill_tokens_per_ms) * 1000));
     Schedule(m_now + request.m_first, What::kFirst, answer.m_ref);
     const Instant end = m_now + request.m_first + Span(request);
     request.m_served = end <= Deadline(request);
@@ -249,12 +249,12 @@
     SimulatedResult result;
     std::map<Tier, std::vector<const Request*>> by_rank;
     for (const Request& request : m_requests) {
-      const Tier rank = request.m_kind->m_rank;
+      const Tier route_tier = request.m_kind->m_route_tier;
       Add(result.m_all, request);
-      Add(result.m_by_rank[rank], request);
+      Add(result.m_by_rank[route_tier], request);
       Add(result.m_by_workspace[request.m_workspace], request);
       Add(result.m_by_data_centre[request.m_data_centre], request);
-      by_rank[rank].push_back(&request);
+      by_rank[route_tier].push_back(&request);
     }
     for (auto& [rank, requests] : by_rank) {
       std::sort(requests.begin(), requests.end(), [this](const auto* a, const auto* b) {
@@ -271,7 +271,7 @@
   std::mt19937_64 m_random;
   Instant m_now{};
   Instant m_end{};
-  PlaceBroker m_broker;
+  SlotBroker m_broker;
   std::vector<Request> m_requests;
   std::priority_queue<Event> m_events;
   std::int64_t m_number = 0;
--- a/tests/rollout_trial_test.cc
+++ b/tests/rollout_trial_test.cc
@@ -78,8 +78,8 @@
     }
     std::string_view why;
     const Duration service(static_cast<std::int64_t>(model.m_service_ms * 1000));
-    const RolloutView view{trial.m_moving, trial.m_finding, true, true, service, kRollout, left};
-    const RolloutDecision decision = Decide(view, why);
+    const RolloutInputs view{trial.m_moving, trial.m_finding, true, true, service, kRollout, left};
+    const RolloutDecision decision = DecideRollout(view, why);
     outcome.m_took = now - begun;
     if (decision == RolloutDecision::kMove)
       trial.m_moving = true;
@@ -105,8 +105,8 @@
     sample.m_server = std::to_string(server);
     sample.m_failed = uniform(random) < fails;
     const bool slow = bad_now && uniform(random) < fault.m_slow_share;
-    sample.m_pace_ms = pace[target ? 1 : 0][server] * std::exp(model.m_noise * normal(random)) *
-                       (slow ? fault.m_slow : 1);
+    sample.m_latency_ms = pace[target ? 1 : 0][server] * std::exp(model.m_noise * normal(random)) *
+                          (slow ? fault.m_slow : 1);
     Learn(trial, sample, now);
   }
   outcome.m_sent = trial.m_sent;
@@ -227,27 +227,27 @@
 
 TEST_CASE("with too little known by the time to move, the version is rolled back") {
   std::string_view why;
-  RolloutView view{false,    TrialFinding::kTooLittle, true, true, kSecond,
-                   kRollout, Duration(6'000'000)};
-  CHECK(Decide(view, why) == RolloutDecision::kWait);
+  RolloutInputs view{false,    TrialFinding::kTooLittle, true, true, kSecond,
+                     kRollout, Duration(6'000'000)};
+  CHECK(DecideRollout(view, why) == RolloutDecision::kWait);
   view.m_left = Duration(2'100'000);
-  CHECK(Decide(view, why) == RolloutDecision::kRollBack);
+  CHECK(DecideRollout(view, why) == RolloutDecision::kRollBack);
   CHECK(why == "too_little");
   view.m_finding = TrialFinding::kGood;
-  CHECK(Decide(view, why) == RolloutDecision::kMove);
+  CHECK(DecideRollout(view, why) == RolloutDecision::kMove);
 }
 
 TEST_CASE("work that has moved is completed once the others are idle, or time is up") {
   std::string_view why;
-  RolloutView view{true, TrialFinding::kGood, true, true, kSecond, kRollout, Duration(3'000'000)};
-  CHECK(Decide(view, why) == RolloutDecision::kWait);
+  RolloutInputs view{true, TrialFinding::kGood, true, true, kSecond, kRollout, Duration(3'000'000)};
+  CHECK(DecideRollout(view, why) == RolloutDecision::kWait);
   view.m_others_busy = false;
-  CHECK(Decide(view, why) == RolloutDecision::kComplete);
+  CHECK(DecideRollout(view, why) == RolloutDecision::kComplete);
   view.m_others_busy = true;
   view.m_left = Duration(600'000);
-  CHECK(Decide(view, why) == RolloutDecision::kComplete);
+  CHECK(DecideRollout(view, why) == RolloutDecision::kComplete);
   view.m_finding = TrialFinding::kFails;
-  CHECK(Decide(view, why) == RolloutDecision::kRollBack);
+  CHECK(DecideRollout(view, why) == RolloutDecision::kRollBack);
 }
 
 }  // namespace
--- a/tests/reach_test.cc
+++ b/tests/round_trip_table_test.cc
@@ -15,8 +15,8 @@
 ServerView Service(int at_work, Duration round_trip) {
   ServerView view;
   view.m_slots = 4;
-  view.m_others = at_work;
-  view.m_pace.m_service_ms = 15;
+  view.m_other_in_flight = at_work;
+  view.m_performance.m_service_ms = 15;
   view.m_same_data_centre = round_trip == Duration(0);
   view.m_round_trip = round_trip;
   return view;
@@ -24,17 +24,17 @@
 
 RequestShape Booking(Duration aim = Duration(200'000)) {
   RequestShape shape;
-  shape.m_aim = aim;
+  shape.m_latency_target = aim;
   return shape;
 }
 
 std::optional<ServerChoice> Choose(const std::vector<ServerView>& views,
                                    const RequestShape& shape) {
-  return ChooseServer(views, shape, TypicalPace(views), 7);
+  return ChooseServer(views, shape, AveragePerformance(views), 7);
 }
 
 TEST_CASE("a round trip is learned from connections, the same both ways") {
-  ReachTable table;
+  RoundTripTable table;
   CHECK(RoundTrip(table, "east", "west") == Duration(0));
   ObserveConnect(table, "east", "west", kTrip);
   CHECK(RoundTrip(table, "west", "east") == kTrip);
@@ -45,20 +45,20 @@
 }
 
 TEST_CASE("nothing is learned within a region, of unknown regions or without a new connection") {
-  ReachTable table;
+  RoundTripTable table;
   ObserveConnect(table, "east", "east", kTrip);
   ObserveConnect(table, "", "east", kTrip);
   ObserveConnect(table, "east", "", kTrip);
   ObserveConnect(table, "", "", kTrip);
   ObserveConnect(table, "east", "west", Duration(0));
-  CHECK(table == ReachTable{});
+  CHECK(table == RoundTripTable{});
 }
 
 TEST_CASE("lost packets and busy machines hardly change a round trip, whenever they come") {
   std::mt19937 random(1);
   std::uniform_real_distribution<double> part;
   for (const bool slow_first : {false, true}) {
-    ReachTable table;
+    RoundTripTable table;
     if (slow_first)
       ObserveConnect(table, "east", "west", Duration(290'000));
     for (int i = 0; i < 300; ++i) {
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE("a way that gets longer or shorter is learned anew") {
-  ReachTable table;
+  RoundTripTable table;
   for (const Duration trip : {kTrip, 2 * kTrip, kTrip / 3}) {
     for (int i = 0; i < 600; ++i)
       ObserveConnect(table, "east", "west", trip);
@@ -87,8 +87,10 @@
 TEST_CASE("a forecast holds the round trip") {
   const ServerView near = Service(0, Duration(0));
   const ServerView far = Service(0, kTrip);
-  CHECK(PredictFirst(far, Booking(), {}) == PredictFirst(near, Booking(), {}) + kTrip);
-  CHECK(PredictAlone(far, Booking(), {}) == PredictAlone(near, Booking(), {}) + kTrip);
+  CHECK(PredictTimeToFirstEvent(far, Booking(), {}) ==
+        PredictTimeToFirstEvent(near, Booking(), {}) + kTrip);
+  CHECK(PredictUnloadedTimeToFirstEvent(far, Booking(), {}) ==
+        PredictUnloadedTimeToFirstEvent(near, Booking(), {}) + kTrip);
 }
 
 TEST_CASE("a short answer isn't fetched from far away while its own region gives it sooner") {
@@ -100,16 +102,16 @@
 TEST_CASE("a region that has room serves its own, although another one would be sooner") {
   ServerView near;
   near.m_slots = 4;
-  near.m_pace.m_tokens_per_ms = 10;
+  near.m_performance.m_prefill_tokens_per_ms = 10;
   ServerView far = near;
   far.m_round_trip = kTrip;
   near.m_same_data_centre = true;
-  near.m_reading_tokens = 2'000;  // 200 ms ahead here, 60 ms of way there.
+  near.m_pending_prefill_tokens = 2'000;  // 200 ms ahead here, 60 ms of way there.
   RequestShape prompt;
   prompt.m_prompt_tokens = 500;
-  prompt.m_aim = Duration(800'000);
+  prompt.m_latency_target = Duration(800'000);
   CHECK(Choose({near, far}, prompt)->m_index == 0);
-  near.m_reading_tokens = 9'000;
+  near.m_pending_prefill_tokens = 9'000;
   CHECK(Choose({near, far}, prompt)->m_index == 1);
 }
 
@@ -118,7 +120,7 @@
   const std::optional<ServerChoice> choice = Choose(views, Booking());
   REQUIRE(choice);
   CHECK(choice->m_index == 1);
-  CHECK(choice->m_first == Duration(75'000));
+  CHECK(choice->m_time_to_first_event == Duration(75'000));
 }
 
 TEST_CASE("what would be late by the way waits for its own region, if that has a server at all") {
@@ -132,22 +134,22 @@
 TEST_CASE("a prompt whose first event the way makes late has no room there") {
   ServerView far;
   far.m_slots = 4;
-  far.m_pace.m_tokens_per_ms = 10;
+  far.m_performance.m_prefill_tokens_per_ms = 10;
   RequestShape prompt;
   prompt.m_prompt_tokens = 4'500;  // 450 ms to read, 15 ms besides.
-  prompt.m_aim = Duration(600'000);
+  prompt.m_latency_target = Duration(600'000);
   CHECK(HasRoom(far, prompt, {}));
-  far.m_reading_tokens = 300;
+  far.m_pending_prefill_tokens = 300;
   CHECK(HasRoom(far, prompt, {}));
   far.m_round_trip = kTrip;
-  far.m_reading_tokens = 2'000;
+  far.m_pending_prefill_tokens = 2'000;
   CHECK_FALSE(HasRoom(far, prompt, {}));
 }
 
 // ---- At the broker -----------------------------------------------------------------------------
 
-PlaceServer ServerAt(const std::string& id, const std::string& data_centre) {
-  PlaceServer server;
+BackendServer ServerAt(const std::string& id, const std::string& data_centre) {
+  BackendServer server;
   server.m_id = id;
   server.m_pool = "app";
   server.m_data_centre = data_centre;
@@ -155,81 +157,83 @@
   return server;
 }
 
-PlaceBroker BrokerOf(const RegionMap& regions) {
-  PlaceBroker broker = BeginBroker(1, 7, Duration(4'500'000), kStart);
+SlotBroker BrokerOf(const RegionMap& regions) {
+  SlotBroker broker = MakeSlotBroker(1, 7, Duration(4'500'000), kStart);
   SetRegions(broker, regions);
-  std::vector<PlaceServer> servers{ServerAt("s0", "e1"), ServerAt("s1", "w1"),
-                                   ServerAt("s2", "w1")};
-  for (PlaceServer& server : servers)
+  std::vector<BackendServer> servers{ServerAt("s0", "e1"), ServerAt("s1", "w1"),
+                                     ServerAt("s2", "w1")};
+  for (BackendServer& server : servers)
     server.m_region = RegionOf(regions, server.m_data_centre);
   SetServers(broker, servers);
   Resync(broker, "a", 1, kStart);
   return broker;
 }
 
-PlaceAsk PlaceWanted(PlaceRef ref, const std::string& data_centre = "e1") {
-  PlaceAsk ask;
-  ask.m_ref = ref;
-  ask.m_pool = "app";
-  ask.m_data_centre = data_centre;
-  ask.m_shape.m_aim = Duration(200'000);
-  ask.m_shape.m_left = Duration(3'000'000);
-  ask.m_wait = Duration(200'000);
-  return ask;
+SlotRequest PlaceWanted(SlotRef ref, const std::string& data_centre = "e1") {
+  SlotRequest slot_request;
+  slot_request.m_ref = ref;
+  slot_request.m_pool = "app";
+  slot_request.m_data_centre = data_centre;
+  slot_request.m_shape.m_latency_target = Duration(200'000);
+  slot_request.m_shape.m_left = Duration(3'000'000);
+  slot_request.m_wait = Duration(200'000);
+  return slot_request;
 }
 
-PlaceReport EndOf(PlaceRef ref, Duration service, Duration connect) {
-  PlaceReport report;
+SlotReport EndOf(SlotRef ref, Duration service, Duration connect) {
+  SlotReport report;
   report.m_ref = ref;
   report.m_ended = true;
-  report.m_sign = ServerSign::kGood;
+  report.m_health_signal = HealthSignal::kSuccess;
   report.m_service = service;
   report.m_connect = connect;
   return report;
 }
 
 TEST_CASE("the broker learns the way between regions, and counts it neither as speed nor as wait") {
-  PlaceBroker broker = BrokerOf({{"e1", "east"}, {"w1", "west"}});
-  PlaceAsk ask = PlaceWanted(1);
-  ask.m_tried = {"s0"};
-  std::vector<PlaceAnswer> out;
-  Ask(broker, "a", ask, kStart, out);
-  REQUIRE(out.at(0).m_verdict == PlaceVerdict::kPlaced);
-  Report(broker, "a", EndOf(1, Duration(75'000), kTrip), kStart, out);
-  CHECK(RoundTrip(broker.m_reach, "east", "west") == kTrip);
-  const PlacePool& pool = broker.m_pools.at("app");
-  CHECK(pool.m_views[1].m_pace.m_service_ms + pool.m_views[2].m_pace.m_service_ms == Approx(15));
+  SlotBroker broker = BrokerOf({{"e1", "east"}, {"w1", "west"}});
+  SlotRequest slot_request = PlaceWanted(1);
+  slot_request.m_tried = {"s0"};
+  std::vector<SlotResponse> out;
+  RequestSlot(broker, "a", slot_request, kStart, out);
+  REQUIRE(out.at(0).m_verdict == SlotVerdict::kPlaced);
+  ApplyReport(broker, "a", EndOf(1, Duration(75'000), kTrip), kStart, out);
+  CHECK(RoundTrip(broker.m_round_trip_table, "east", "west") == kTrip);
+  const SlotPool& pool = broker.m_pools.at("app");
+  CHECK(pool.m_views[1].m_performance.m_service_ms + pool.m_views[2].m_performance.m_service_ms ==
+        Approx(15));
   // From the other region the same servers are near.
   out.clear();
-  PlaceAsk there = PlaceWanted(2, "w1");
+  SlotRequest there = PlaceWanted(2, "w1");
   there.m_tried = {"s0"};
-  Ask(broker, "a", there, kStart, out);
-  CHECK(out.at(0).m_first == Duration(15'000));
+  RequestSlot(broker, "a", there, kStart, out);
+  CHECK(out.at(0).m_time_to_first_event == Duration(15'000));
   out.clear();
-  ask.m_ref = 3;
-  Ask(broker, "a", ask, kStart, out);
-  CHECK(out.at(0).m_first == Duration(75'000));
+  slot_request.m_ref = 3;
+  RequestSlot(broker, "a", slot_request, kStart, out);
+  CHECK(out.at(0).m_time_to_first_event == Duration(75'000));
 }
 
 TEST_CASE("in one region, or without regions, nothing is learned and every place is the same") {
-  PlaceBroker none = BrokerOf({});
-  PlaceBroker one = BrokerOf({{"e1", "east"}, {"w1", "east"}});
+  SlotBroker none = BrokerOf({});
+  SlotBroker one = BrokerOf({{"e1", "east"}, {"w1", "east"}});
   std::mt19937 random(3);
-  for (PlaceRef ref = 1; ref <= 400; ++ref) {
+  for (SlotRef ref = 1; ref <= 400; ++ref) {
     const Instant now = kStart + Duration(5'000 * ref);
     const std::string from = random() % 2 == 0 ? "e1" : "w1";
     const Duration service(10'000 + static_cast<std::int64_t>(random() % 40'000));
     const Duration connect(static_cast<std::int64_t>(random() % 90'000));
-    std::vector<PlaceAnswer> left;
-    std::vector<PlaceAnswer> right;
-    Ask(none, "a", PlaceWanted(ref, from), now, left);
-    Ask(one, "a", PlaceWanted(ref, from), now, right);
-    Report(none, "a", EndOf(ref - 9, service, connect), now, left);
-    Report(one, "a", EndOf(ref - 9, service, connect), now, right);
+    std::vector<SlotResponse> left;
+    std::vector<SlotResponse> right;
+    RequestSlot(none, "a", PlaceWanted(ref, from), now, left);
+    RequestSlot(one, "a", PlaceWanted(ref, from), now, right);
+    ApplyReport(none, "a", EndOf(ref - 9, service, connect), now, left);
+    ApplyReport(one, "a", EndOf(ref - 9, service, connect), now, right);
     REQUIRE(left == right);
   }
-  CHECK(one.m_reach == ReachTable{});
-  CHECK(none.m_pools.at("app").m_views[1].m_pace == one.m_pools.at("app").m_views[1].m_pace);
+  CHECK(one.m_round_trip_table == RoundTripTable{});
+  CHECK(none.m_pools.at("app").m_views[1].m_performance ==
+        one.m_pools.at("app").m_views[1].m_performance);
 }
 
 // ---- At an instance ----------------------------------------------------------------------------
@@ -243,25 +247,26 @@
   wire::ServerRecord record = rig.Record("s0", server);
   record.data_centre = "w1";
   rig.m_forwarder->Take(ServersChanged{{record}});
-  std::vector<PlaceAsk> asks;
-  std::vector<PlaceReport> reports;
-  const auto note = [&](const PlaceBatch& batch) {
-    asks.insert(asks.end(), batch.m_asks.begin(), batch.m_asks.end());
+  std::vector<SlotRequest> slot_requests;
+  std::vector<SlotReport> reports;
+  const auto note = [&](const SlotBatch& batch) {
+    slot_requests.insert(slot_requests.end(), batch.m_slot_requests.begin(),
+                         batch.m_slot_requests.end());
     reports.insert(reports.end(), batch.m_reports.begin(), batch.m_reports.end());
   };
   rig.m_forwarder->SetBroker({note, [] {}});
   rig.m_forwarder->Take(BrokerFound{1});
   Pending call(rig, Request("/safe/", "i"));
-  rig.RunUntil([&] { return !asks.empty(); });
-  REQUIRE(asks.size() == 1);
-  PlaceAnswer answer;
-  answer.m_ref = asks[0].m_ref;
+  rig.RunUntil([&] { return !slot_requests.empty(); });
+  REQUIRE(slot_requests.size() == 1);
+  SlotResponse answer;
+  answer.m_ref = slot_requests[0].m_ref;
   answer.m_server = "s0";
   rig.m_forwarder->Take(PlacesAnswered{1, {answer}});
   CHECK(call.Finish(rig).status() == 200);
   REQUIRE(reports.size() == 1);
   CHECK(reports[0].m_connect > Duration(0));
-  CHECK(RoundTrip(state.m_reach, "east", "west") == reports[0].m_connect);
+  CHECK(RoundTrip(state.m_round_trip_table, "east", "west") == reports[0].m_connect);
 }
 
 }  // namespace
--- a/tests/server_choice_test.cc
+++ b/tests/server_choice_test.cc
@@ -15,8 +15,9 @@
 ServerView Engine(double tokens_per_ms, int at_work) {
   ServerView view;
   view.m_slots = 10;
-  view.m_others = at_work;
-  view.m_pace = {.m_tokens_per_ms = tokens_per_ms, .m_event_ms = 25, .m_service_ms = 1500};
+  view.m_other_in_flight = at_work;
+  view.m_performance = {
+      .m_prefill_tokens_per_ms = tokens_per_ms, .m_event_interval_ms = 25, .m_service_ms = 1500};
   view.m_same_data_centre = true;
   return view;
 }
@@ -25,13 +26,13 @@
   RequestShape shape;
   shape.m_tier = tier;
   shape.m_prompt_tokens = tokens;
-  shape.m_aim = kAim;
+  shape.m_latency_target = kAim;
   return shape;
 }
 
 std::optional<ServerChoice> Choose(const std::vector<ServerView>& views,
                                    const RequestShape& shape) {
-  return ChooseServer(views, shape, TypicalPace(views), 7);
+  return ChooseServer(views, shape, AveragePerformance(views), 7);
 }
 
 TEST_CASE("a long prompt goes to the engine that reads it soonest") {
@@ -41,19 +42,19 @@
 
 TEST_CASE("prompts that an engine still has to read count against it") {
   std::vector<ServerView> views{Engine(50, 3), Engine(50, 3)};
-  views[0].m_reading_tokens = 30'000;
+  views[0].m_pending_prefill_tokens = 30'000;
   CHECK(Choose(views, Prompt(1'000))->m_index == 1);
 }
 
 TEST_CASE("an engine that keeps most of the prompt is ahead of an equal one") {
   std::vector<ServerView> views{Engine(50, 3), Engine(50, 3)};
-  views[1].m_kept_tokens = 9'000;
+  views[1].m_cached_tokens = 9'000;
   CHECK(Choose(views, Prompt(10'000))->m_index == 1);
 }
 
 TEST_CASE("nothing is sent where the first event can't be in time") {
   std::vector<ServerView> views{Engine(50, 2)};
-  views[0].m_reading_tokens = 40'000;
+  views[0].m_pending_prefill_tokens = 40'000;
   CHECK_FALSE(Choose(views, Prompt(1'000)));
 }
 
@@ -80,13 +81,13 @@
 
 TEST_CASE("an answer that a slow engine can't end in time waits for one that can") {
   std::vector<ServerView> views{Engine(60, 0), Engine(50, 10)};
-  views[0].m_pace.m_event_ms = 80;
-  views[1].m_pace.m_event_ms = 18;
+  views[0].m_performance.m_event_interval_ms = 80;
+  views[1].m_performance.m_event_interval_ms = 18;
   RequestShape shape = Prompt(500);
   shape.m_events = 300;
   shape.m_left = Duration(15'000'000);
   CHECK_FALSE(Choose(views, shape));
-  views[1].m_others = 9;
+  views[1].m_other_in_flight = 9;
   CHECK(Choose(views, shape)->m_index == 1);
   shape.m_events = 50;
   CHECK(Choose(views, shape)->m_index == 0);
@@ -94,8 +95,8 @@
 
 TEST_CASE("an answer that no engine can end in time still goes to one with room") {
   std::vector<ServerView> views{Engine(60, 0), Engine(50, 10)};
-  views[0].m_pace.m_event_ms = 80;
-  views[1].m_pace.m_event_ms = 80;
+  views[0].m_performance.m_event_interval_ms = 80;
+  views[1].m_performance.m_event_interval_ms = 80;
   RequestShape shape = Prompt(500);
   shape.m_events = 300;
   shape.m_left = Duration(15'000'000);
@@ -110,7 +111,7 @@
 
 TEST_CASE("a request that yields leaves the last places to what is more urgent") {
   RequestShape shape = Prompt(500, 1);
-  shape.m_yields = true;
+  shape.m_yields_to_higher_priority = true;
   CHECK(Choose({Engine(50, 5)}, shape));
   CHECK_FALSE(Choose({Engine(50, 9)}, shape));
 }
@@ -125,20 +126,20 @@
 
 TEST_CASE("long streams keep away from engines with long pauses") {
   std::vector<ServerView> views{Engine(50, 2), Engine(45, 2)};
-  views[0].m_pace.m_pause_ms = 500;
-  views[1].m_pace.m_pause_ms = 100;
+  views[0].m_performance.m_pause_ms = 500;
+  views[1].m_performance.m_pause_ms = 100;
   RequestShape shape = Prompt(500);
-  shape.m_pause_aim = Duration(400'000);
+  shape.m_gap_target = Duration(400'000);
   shape.m_events = 80;
   CHECK(Choose(views, shape)->m_index == 1);
 }
 
 TEST_CASE("a stream that would miss its deadline on a slow engine goes to a fast one") {
   std::vector<ServerView> views{Engine(60, 0), Engine(50, 4)};
-  views[0].m_pace.m_event_ms = 80;
-  views[1].m_pace.m_event_ms = 18;
+  views[0].m_performance.m_event_interval_ms = 80;
+  views[1].m_performance.m_event_interval_ms = 18;
   RequestShape shape = Prompt(500);
-  shape.m_pause_aim = Duration(400'000);
+  shape.m_gap_target = Duration(400'000);
   shape.m_events = 300;
   shape.m_left = Duration(15'000'000);
   CHECK(Choose(views, shape)->m_index == 1);
@@ -148,37 +149,37 @@
   const std::vector<ServerView> views(4, Engine(50, 2));
   std::vector<int> chosen(4);
   for (std::uint64_t random = 0; random < 4'000; ++random)
-    ++chosen[ChooseServer(views, Prompt(500), TypicalPace(views), random * 977)->m_index];
+    ++chosen[ChooseServer(views, Prompt(500), AveragePerformance(views), random * 977)->m_index];
   for (const int n : chosen)
     CHECK(n == Approx(1000).margin(150));
 }
 
 TEST_CASE("interference slows a sample, so learning follows the faster ones") {
-  ServerPace pace;
-  pace = ObserveFirst(pace, 5'000, Duration(115'000));
-  CHECK(pace.m_tokens_per_ms == Approx(50));
-  const ServerPace slower = ObserveFirst(pace, 5'000, Duration(1'015'000));
-  CHECK(slower.m_tokens_per_ms > 45);
-  const ServerPace faster = ObserveFirst(pace, 5'000, Duration(65'000));
-  CHECK(faster.m_tokens_per_ms > 60);
-  CHECK(ObserveFirst(pace, 10, Duration(1'000)) == pace);
+  ServerPerformance pace;
+  pace = ObserveFirstEvent(pace, 5'000, Duration(115'000));
+  CHECK(pace.m_prefill_tokens_per_ms == Approx(50));
+  const ServerPerformance slower = ObserveFirstEvent(pace, 5'000, Duration(1'015'000));
+  CHECK(slower.m_prefill_tokens_per_ms > 45);
+  const ServerPerformance faster = ObserveFirstEvent(pace, 5'000, Duration(65'000));
+  CHECK(faster.m_prefill_tokens_per_ms > 60);
+  CHECK(ObserveFirstEvent(pace, 10, Duration(1'000)) == pace);
 }
 
 TEST_CASE("one failure changes nothing, several in a row keep work away for longer and longer") {
   ServerHealth health;
   for (int i = 0; i < 2; ++i) {
-    health = Observe(health, ServerSign::kBad, kNow);
-    CHECK_FALSE(Avoided(health, kNow));
+    health = Observe(health, HealthSignal::kFailure, kNow);
+    CHECK_FALSE(IsEjected(health, kNow));
   }
-  health = Observe(health, ServerSign::kBad, kNow);
-  CHECK(Avoided(health, kNow));
-  const Instant first = health.m_avoid_until;
-  health = Observe(health, ServerSign::kBad, kNow);
-  CHECK(health.m_avoid_until > first);
+  health = Observe(health, HealthSignal::kFailure, kNow);
+  CHECK(IsEjected(health, kNow));
+  const Instant first = health.m_ejected_until;
+  health = Observe(health, HealthSignal::kFailure, kNow);
+  CHECK(health.m_ejected_until > first);
   for (int i = 0; i < 50; ++i)
-    health = Observe(health, ServerSign::kBad, kNow);
-  CHECK(health.m_avoid_until <= kNow + Duration(4'000'000));
-  health = Observe(health, ServerSign::kGood, kNow + Duration(5'000'000));
+    health = Observe(health, HealthSignal::kFailure, kNow);
+  CHECK(health.m_ejected_until <= kNow + Duration(4'000'000));
+  health = Observe(health, HealthSignal::kSuccess, kNow + Duration(5'000'000));
   CHECK(health.m_failures == 0);
 }
 
@@ -190,8 +191,8 @@
   constexpr int kAnswers = 20'000;
   for (int i = 0; i < kAnswers; ++i) {
     const Instant now = kNow + i * Duration(10'000);
-    avoided += Avoided(health, now) ? 1 : 0;
-    health = Observe(health, fails(random) ? ServerSign::kBad : ServerSign::kGood, now);
+    avoided += IsEjected(health, now) ? 1 : 0;
+    health = Observe(health, fails(random) ? HealthSignal::kFailure : HealthSignal::kSuccess, now);
   }
   CHECK(avoided < kAnswers / 200);
 }
@@ -202,14 +203,15 @@
     std::bernoulli_distribution fails(0.6);
     ServerHealth health;
     int sent = 0;
-    for (; sent < 40 && !Avoided(health, kNow); ++sent)
-      health = Observe(health, fails(random) ? ServerSign::kBad : ServerSign::kGood, kNow);
+    for (; sent < 40 && !IsEjected(health, kNow); ++sent)
+      health =
+          Observe(health, fails(random) ? HealthSignal::kFailure : HealthSignal::kSuccess, kNow);
     CHECK(sent < 40);
   }
 }
 
 TEST_CASE("a server without a connection is avoided at once") {
-  CHECK(Avoided(Observe({}, ServerSign::kUnreachable, kNow), kNow));
+  CHECK(IsEjected(Observe({}, HealthSignal::kUnreachable, kNow), kNow));
 }
 
 TEST_CASE("a shared retry limit is spent in parts") {
--- a/tests/server_word_test.cc
+++ b/tests/server_notice_test.cc
@@ -18,7 +18,7 @@
 
 #include "fake_broker.h"
 #include "forwarder_rig.h"
-#include "place_rig.h"
+#include "slot_broker_fixture.h"
 
 namespace poppyway {
 namespace {
@@ -61,9 +61,9 @@
   Pending first(rig, Request("/once/", "a"));
   Pending second(rig, Request("/once/", "b"));
   rig.RunUntil([&] { return broker.Asks().size() == 2; });
-  const std::vector<PlaceAsk> asks = broker.Asks();
-  REQUIRE(asks.size() == 2);
-  Decide(rig, asks[0].m_ref, PlaceVerdict::kPlaced, "s0");
+  const std::vector<SlotRequest> slot_requests = broker.Asks();
+  REQUIRE(slot_requests.size() == 2);
+  Decide(rig, slot_requests[0].m_ref, SlotVerdict::kPlaced, "s0");
   rig.RunUntil([&] { return !broker.Words().empty(); });
   // The broker learns of it with the server, its life, and what is left of the time.
   REQUIRE(broker.Words().size() == 1);
@@ -71,11 +71,11 @@
   CHECK(broker.Words()[0].m_back_off > Duration(900'000));
   CHECK(broker.Words()[0].m_back_off <= Duration(1'000'000));
   // Its answer for the other request was on its way.
-  Decide(rig, asks[1].m_ref, PlaceVerdict::kPlaced, "s0");
+  Decide(rig, slot_requests[1].m_ref, SlotVerdict::kPlaced, "s0");
   rig.RunUntil([&] { return broker.Asks().size() == 4; });
   REQUIRE(broker.Asks().size() == 4);  // Both ask again.
   for (std::size_t i = 2; i < 4; ++i)
-    Decide(rig, broker.Asks()[i].m_ref, PlaceVerdict::kPlaced, "s1");
+    Decide(rig, broker.Asks()[i].m_ref, SlotVerdict::kPlaced, "s1");
   CHECK(first.Finish(rig).status() == 200);
   CHECK(second.Finish(rig).status() == 200);
   CHECK(busy.requests().size() == 1);
@@ -108,7 +108,7 @@
   FakeBroker broker(rig);
   Pending first(rig, Request("/once/", "a"));
   rig.RunUntil([&] { return !broker.Asks().empty(); });
-  Decide(rig, broker.Asks()[0].m_ref, PlaceVerdict::kPlaced, "s0");
+  Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kPlaced, "s0");
   rig.RunUntil([&] { return !broker.Words().empty(); });
   rig.Register("s1", good);
   if (lost)
@@ -201,67 +201,67 @@
 
 // ---- The broker ---------------------------------------------------------------------------------
 
-PlaceServer EngineBorn(const std::string& id, std::int64_t born) {
-  PlaceServer server = Engine(id);
-  server.m_born = born;
+BackendServer EngineBorn(const std::string& id, std::int64_t started_ms) {
+  BackendServer server = Engine(id);
+  server.m_started_ms = started_ms;
   return server;
 }
 
-PlaceBroker BrokerWith(const std::vector<PlaceServer>& servers) {
+SlotBroker BrokerWith(const std::vector<BackendServer>& servers) {
   return BrokerFor({"a", "b"}, servers);
 }
 
-ServerWord Wish(const std::string& server, Duration back_off, std::int64_t born = 0) {
-  ServerWord word;
-  word.m_server = server;
-  word.m_born = born;
-  word.m_back_off = back_off;
-  return word;
+ServerNotice Wish(const std::string& server, Duration back_off, std::int64_t started_ms = 0) {
+  ServerNotice notice;
+  notice.m_server = server;
+  notice.m_started_ms = started_ms;
+  notice.m_back_off = back_off;
+  return notice;
 }
 
 TEST_CASE("the broker gives an instance no place at a server that backs off from it") {
-  PlaceBroker broker = BrokerWith({Engine("s0"), Engine("s1")});
+  SlotBroker broker = BrokerWith({Engine("s0"), Engine("s1")});
   HearWord(broker, "a", Wish("s0", kSecond), kStart);
-  for (PlaceRef ref = 1; ref <= 2; ++ref)
+  for (SlotRef ref = 1; ref <= 2; ++ref)
     CHECK(AskOnce(broker, "a", WantedPlace(ref), kStart).m_server == "s1");
   // Full: it waits, though the other server has room.
-  CHECK(AskOnce(broker, "a", WantedPlace(3), kStart).m_verdict == PlaceVerdict::kQueued);
+  CHECK(AskOnce(broker, "a", WantedPlace(3), kStart).m_verdict == SlotVerdict::kQueued);
   // The other instance wasn't asked.
   CHECK(AskOnce(broker, "b", WantedPlace(4), kStart).m_server == "s0");
   // A place that comes free at the server isn't given to the one that it backs off from.
-  std::vector<PlaceAnswer> out;
-  PlaceReport end;
+  std::vector<SlotResponse> out;
+  SlotReport end;
   end.m_ref = 4;
   end.m_ended = true;
-  Report(broker, "b", end, kStart + Duration(100'000), out);
+  ApplyReport(broker, "b", end, kStart + Duration(100'000), out);
   CHECK(out.empty());
   CHECK(AskOnce(broker, "a", WantedPlace(5), kStart + kSecond).m_server == "s0");
 }
 
 TEST_CASE("half of a pool stays in use for failures, but never against a server's own wish") {
-  PlaceBroker broker = BrokerWith({Engine("s0"), Engine("s1"), Engine("s2"), Engine("s3")});
+  SlotBroker broker = BrokerWith({Engine("s0"), Engine("s1"), Engine("s2"), Engine("s3")});
   for (const std::string id : {"s0", "s1", "s2"})
     HearWord(broker, "a", Wish(id, kSecond), kStart);
   CHECK(AskOnce(broker, "a", WantedPlace(1), kStart).m_server == "s3");
   CHECK(AskOnce(broker, "a", WantedPlace(2), kStart).m_server == "s3");
-  CHECK(AskOnce(broker, "a", WantedPlace(3), kStart).m_verdict == PlaceVerdict::kQueued);
+  CHECK(AskOnce(broker, "a", WantedPlace(3), kStart).m_verdict == SlotVerdict::kQueued);
 }
 
 TEST_CASE("a request that no server wants in time is refused at once, to come back then") {
-  PlaceBroker broker = BrokerWith({Engine("s0"), Engine("s1")});
+  SlotBroker broker = BrokerWith({Engine("s0"), Engine("s1")});
   HearWord(broker, "a", Wish("s0", 3 * kSecond), kStart);
   HearWord(broker, "a", Wish("s1", 2 * kSecond), kStart);
-  const PlaceAnswer refused = AskOnce(broker, "a", WantedPlace(1), kStart);
-  CHECK(refused.m_verdict == PlaceVerdict::kNoRoom);
-  CHECK(refused.m_come_back == 2 * kSecond);
-  CHECK(AskOnce(broker, "b", WantedPlace(2), kStart).m_verdict == PlaceVerdict::kPlaced);
+  const SlotResponse refused = AskOnce(broker, "a", WantedPlace(1), kStart);
+  CHECK(refused.m_verdict == SlotVerdict::kNoRoom);
+  CHECK(refused.m_estimated_wait == 2 * kSecond);
+  CHECK(AskOnce(broker, "b", WantedPlace(2), kStart).m_verdict == SlotVerdict::kPlaced);
 }
 
 TEST_CASE("a request waits for a server that wants something again soon, and gets it") {
-  PlaceBroker broker = BrokerWith({Engine("s0")});
+  SlotBroker broker = BrokerWith({Engine("s0")});
   HearWord(broker, "a", Wish("s0", Duration(50'000)), kStart);
-  CHECK(AskOnce(broker, "a", WantedPlace(1), kStart).m_verdict == PlaceVerdict::kQueued);
-  std::vector<PlaceAnswer> out;
+  CHECK(AskOnce(broker, "a", WantedPlace(1), kStart).m_verdict == SlotVerdict::kQueued);
+  std::vector<SlotResponse> out;
   TickBroker(broker, kStart + Duration(49'000), out);
   CHECK(out.empty());
   TickBroker(broker, kStart + Duration(50'000), out);
@@ -271,12 +271,12 @@
 
 TEST_CASE(
     "the broker keeps a server's wish over changes of the list, and forgets it with its life") {
-  PlaceBroker broker = BrokerWith({EngineBorn("s0", 1'000)});
+  SlotBroker broker = BrokerWith({EngineBorn("s0", 1'000)});
   HearWord(broker, "a", Wish("s0", 5 * kSecond, 1'000), kStart);
   SetServers(broker, {Engine("r9"), EngineBorn("s0", 1'000)});
   CHECK(AskOnce(broker, "a", WantedPlace(1), kStart).m_server == "r9");
   CHECK(AskOnce(broker, "a", WantedPlace(2), kStart).m_server == "r9");
-  CHECK(AskOnce(broker, "a", WantedPlace(3), kStart).m_verdict == PlaceVerdict::kQueued);
+  CHECK(AskOnce(broker, "a", WantedPlace(3), kStart).m_verdict == SlotVerdict::kQueued);
   SetServers(broker, {EngineBorn("s0", 2'000)});
   CHECK(AskOnce(broker, "a", WantedPlace(4), kStart).m_server == "s0");
   // What was said by the earlier life comes late.
@@ -285,24 +285,24 @@
 }
 
 TEST_CASE("the broker keeps nothing of wishes that are over") {
-  PlaceBroker broker = BrokerWith({Engine("s0"), Engine("s1")});
+  SlotBroker broker = BrokerWith({Engine("s0"), Engine("s1")});
   HearWord(broker, "a", Wish("s0", kSecond), kStart);
   HearWord(broker, "b", Wish("s1", 2 * kSecond), kStart);
-  std::vector<PlaceAnswer> out;
+  std::vector<SlotResponse> out;
   TickBroker(broker, kStart + kSecond, out);
   CHECK(AskOnce(broker, "b", WantedPlace(1), kStart + kSecond).m_server == "s0");
   TickBroker(broker, kStart + 2 * kSecond, out);
-  for (const ServerWords& words : broker.m_pools.at("engines").m_words)
-    CHECK(words.m_back_off_until.empty());
+  for (const ServerNotices& notices : broker.m_pools.at("engines").m_notices)
+    CHECK(notices.m_back_off_until.empty());
 }
 
 TEST_CASE("wishes are bounded by the instances that are asked at one time") {
-  ServerWords words;
+  ServerNotices notices;
   for (int i = 0; i < 1'000; ++i)
-    TakeWord(words, "holder" + std::to_string(i), Wish("s0", kSecond), kStart + i * kSecond);
-  CHECK(words.m_back_off_until.size() == 1);
-  TakeWord(words, "other", Wish("s0", Duration(-5)), kStart + 1'000 * kSecond);
-  CHECK(words.m_back_off_until.empty());
+    TakeWord(notices, "holder" + std::to_string(i), Wish("s0", kSecond), kStart + i * kSecond);
+  CHECK(notices.m_back_off_until.size() == 1);
+  TakeWord(notices, "other", Wish("s0", Duration(-5)), kStart + 1'000 * kSecond);
+  CHECK(notices.m_back_off_until.empty());
 }
 
 // ---- Servers that leave -------------------------------------------------------------------------
@@ -339,7 +339,7 @@
     const std::size_t asked = broker.Asks().size();
     Pending call(rig, Request("/once/", "i" + std::to_string(i)));
     rig.RunUntil([&] { return broker.Asks().size() > asked; });
-    Decide(rig, broker.Asks().back().m_ref, PlaceVerdict::kPlaced, "s0");
+    Decide(rig, broker.Asks().back().m_ref, SlotVerdict::kPlaced, "s0");
     if (i == 0)
       CHECK(call.Finish(rig).status() == 200);
   }
@@ -361,7 +361,7 @@
   FakeBroker broker(rig);
   Pending first(rig, Request("/safe/", "a"));
   rig.RunUntil([&] { return !broker.Asks().empty(); });
-  Decide(rig, broker.Asks()[0].m_ref, PlaceVerdict::kPlaced, "s0");
+  Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kPlaced, "s0");
   CHECK(first.Finish(rig).status() == 200);
   rig.Register("s1", stays);
   rig.m_forwarder->Take(BrokerLost{});
@@ -415,8 +415,8 @@
   rig.Register("s0", other);  // As the registry has it.
   (void)Call(rig, Request("/safe/", "a"));
   const std::map<std::string, Backend>& backends = rig.m_forwarder->state().m_backends;
-  CHECK(backends.at("s9").m_says_leaving);
-  CHECK_FALSE(backends.at("s0").m_says_leaving);
+  CHECK(backends.at("s9").m_announced_leaving);
+  CHECK_FALSE(backends.at("s0").m_announced_leaving);
 }
 
 TEST_CASE("a server that has started again gets work though its earlier life left") {
@@ -436,22 +436,22 @@
 }
 
 TEST_CASE("the broker gives no instance a place at a server that told one of them that it leaves") {
-  PlaceBroker broker = BrokerWith({EngineBorn("s0", 1'000), Engine("s1")});
-  ServerWord word;
-  word.m_server = "s0";
-  word.m_born = 1'000;
-  word.m_leaving = true;
-  HearWord(broker, "a", word, kStart);
-  HearWord(broker, "b", word, kStart);
-  CHECK(broker.m_leaving_news == std::vector<LeavingServer>{{"s0", "a"}});
+  SlotBroker broker = BrokerWith({EngineBorn("s0", 1'000), Engine("s1")});
+  ServerNotice notice;
+  notice.m_server = "s0";
+  notice.m_started_ms = 1'000;
+  notice.m_leaving = true;
+  HearWord(broker, "a", notice, kStart);
+  HearWord(broker, "b", notice, kStart);
+  CHECK(broker.m_leaving_events == std::vector<LeavingServer>{{"s0", "a"}});
   CHECK(AskOnce(broker, "a", WantedPlace(1), kStart).m_server == "s1");
   CHECK(AskOnce(broker, "b", WantedPlace(2), kStart).m_server == "s1");
-  CHECK(AskOnce(broker, "b", WantedPlace(3), kStart).m_verdict == PlaceVerdict::kQueued);
+  CHECK(AskOnce(broker, "b", WantedPlace(3), kStart).m_verdict == SlotVerdict::kQueued);
   // The registry doesn't know it yet.
   SetServers(broker, {EngineBorn("s0", 1'000), Engine("s2")});
   CHECK(AskOnce(broker, "b", WantedPlace(4), kStart).m_server == "s2");
   CHECK(AskOnce(broker, "b", WantedPlace(5), kStart).m_server == "s2");
-  CHECK(AskOnce(broker, "b", WantedPlace(6), kStart).m_verdict == PlaceVerdict::kQueued);
+  CHECK(AskOnce(broker, "b", WantedPlace(6), kStart).m_verdict == SlotVerdict::kQueued);
   SetServers(broker, {EngineBorn("s0", 2'000)});
   CHECK(AskOnce(broker, "b", WantedPlace(7), kStart).m_server == "s0");
 }
--- a/tests/place_broker_test.cc
+++ b/tests/slot_broker_test.cc
@@ -5,240 +5,243 @@
 #include <catch2/catch.hpp>
 #include <set>
 
-#include "place_rig.h"
+#include "slot_broker_fixture.h"
 
 namespace poppyway {
 namespace {
 
-PlaceServer Server(const std::string& id, int slots) {
+BackendServer Server(const std::string& id, int slots) {
   return {id, "engines", "east", slots, false};
 }
 
-PlaceBroker BrokerWith(const std::vector<PlaceServer>& servers) {
+SlotBroker BrokerWith(const std::vector<BackendServer>& servers) {
   return BrokerFor({"a", "b"}, servers);
 }
 
-PlaceAsk PlaceWanted(PlaceRef ref, Tier rank = 0) {
-  PlaceAsk ask = WantedPlace(ref);
-  ask.m_tier = rank;
-  ask.m_shape.m_tier = rank;
-  ask.m_expected_tokens = 100;
-  return ask;
+SlotRequest PlaceWanted(SlotRef ref, Tier route_tier = 0) {
+  SlotRequest slot_request = WantedPlace(ref);
+  slot_request.m_tier = route_tier;
+  slot_request.m_shape.m_tier = route_tier;
+  slot_request.m_expected_tokens = 100;
+  return slot_request;
 }
 
-PlaceAsk Costly(PlaceRef ref, double cost, double rate) {
-  PlaceAsk ask = PlaceWanted(ref);
-  ask.m_workspace = "north";
-  ask.m_quota.m_cost = cost;
-  ask.m_limit = {rate, rate};
-  return ask;
+SlotRequest Costly(SlotRef ref, double cost, double rate) {
+  SlotRequest slot_request = PlaceWanted(ref);
+  slot_request.m_workspace = "north";
+  slot_request.m_quota.m_cost = cost;
+  slot_request.m_limit = {rate, rate};
+  return slot_request;
 }
 
-PlaceReport End(PlaceRef ref, bool ran = true) {
-  PlaceReport report;
+SlotReport End(SlotRef ref, bool ran = true) {
+  SlotReport report;
   report.m_ref = ref;
   report.m_ended = true;
-  report.m_ran = ran;
+  report.m_may_have_run = ran;
   return report;
 }
 
-std::vector<PlaceAnswer> AskFor(PlaceBroker& broker, const std::string& holder, PlaceAsk ask) {
-  std::vector<PlaceAnswer> out;
-  Ask(broker, holder, std::move(ask), kStart, out);
+std::vector<SlotResponse> AskFor(SlotBroker& broker,
+                                 const std::string& instance,
+                                 SlotRequest slot_request) {
+  std::vector<SlotResponse> out;
+  RequestSlot(broker, instance, std::move(slot_request), kStart, out);
   return out;
 }
 
-int Taken(const PlaceBroker& broker) {
+int Taken(const SlotBroker& broker) {
   int taken = 0;
   for (const ServerView& view : broker.m_pools.at("engines").m_views)
-    taken += view.m_others;
+    taken += view.m_other_in_flight;
   return taken;
 }
 
 TEST_CASE("an engine's places are given out once each, whoever asks") {
-  PlaceBroker broker = BrokerWith({Server("s0", 2), Server("s1", 1)});
+  SlotBroker broker = BrokerWith({Server("s0", 2), Server("s1", 1)});
   int placed = 0;
-  for (PlaceRef ref = 1; ref <= 6; ++ref) {
+  for (SlotRef ref = 1; ref <= 6; ++ref) {
     const auto answers = AskFor(broker, ref % 2 == 0 ? "a" : "b", PlaceWanted(ref));
     REQUIRE(answers.size() == 1);
-    placed += answers[0].m_verdict == PlaceVerdict::kPlaced ? 1 : 0;
+    placed += answers[0].m_verdict == SlotVerdict::kPlaced ? 1 : 0;
   }
   CHECK(placed == 3);
   CHECK(Taken(broker) == 3);
   for (const ServerView& view : broker.m_pools.at("engines").m_views)
-    CHECK(view.m_others == view.m_slots);
+    CHECK(view.m_other_in_flight == view.m_slots);
 }
 
 TEST_CASE("a place that comes free goes at once to what is most urgent, then to what came first") {
-  PlaceBroker broker = BrokerWith({Server("s0", 1)});
+  SlotBroker broker = BrokerWith({Server("s0", 1)});
   (void)AskFor(broker, "a", PlaceWanted(1));
-  CHECK(AskFor(broker, "a", PlaceWanted(2, 1))[0].m_verdict == PlaceVerdict::kQueued);
-  CHECK(AskFor(broker, "b", PlaceWanted(3, 0))[0].m_verdict == PlaceVerdict::kQueued);
-  CHECK(AskFor(broker, "a", PlaceWanted(4, 0))[0].m_verdict == PlaceVerdict::kQueued);
-  std::vector<PlaceRef> order;
-  PlaceRef running = 1;
-  std::string holder = "a";
+  CHECK(AskFor(broker, "a", PlaceWanted(2, 1))[0].m_verdict == SlotVerdict::kQueued);
+  CHECK(AskFor(broker, "b", PlaceWanted(3, 0))[0].m_verdict == SlotVerdict::kQueued);
+  CHECK(AskFor(broker, "a", PlaceWanted(4, 0))[0].m_verdict == SlotVerdict::kQueued);
+  std::vector<SlotRef> order;
+  SlotRef running = 1;
+  std::string instance = "a";
   for (int i = 0; i < 3; ++i) {
-    std::vector<PlaceAnswer> out;
-    Report(broker, holder, End(running), kStart + Duration(1'000), out);
+    std::vector<SlotResponse> out;
+    ApplyReport(broker, instance, End(running), kStart + Duration(1'000), out);
     REQUIRE(out.size() == 1);
-    CHECK(out[0].m_verdict == PlaceVerdict::kPlaced);
+    CHECK(out[0].m_verdict == SlotVerdict::kPlaced);
     order.push_back(out[0].m_ref);
     running = out[0].m_ref;
-    holder = out[0].m_holder;
+    instance = out[0].m_instance;
   }
-  CHECK(order == std::vector<PlaceRef>{3, 4, 2});
+  CHECK(order == std::vector<SlotRef>{3, 4, 2});
 }
 
 TEST_CASE("a place request that was withdrawn gets no place") {
-  PlaceBroker broker = BrokerWith({Server("s0", 1)});
+  SlotBroker broker = BrokerWith({Server("s0", 1)});
   (void)AskFor(broker, "a", PlaceWanted(1));
   (void)AskFor(broker, "b", PlaceWanted(2));
-  Withdraw(broker, "b", 2);
-  std::vector<PlaceAnswer> out;
-  Report(broker, "a", End(1), kStart, out);
+  CancelRequest(broker, "b", 2);
+  std::vector<SlotResponse> out;
+  ApplyReport(broker, "a", End(1), kStart, out);
   CHECK(out.empty());
   CHECK(Taken(broker) == 0);
 }
 
 TEST_CASE("what finds no room in its time is refused, and costs its workspace nothing") {
-  PlaceBroker broker = BrokerWith({Server("s0", 1)});
+  SlotBroker broker = BrokerWith({Server("s0", 1)});
   (void)AskFor(broker, "a", PlaceWanted(1));
   (void)AskFor(broker, "a", Costly(2, 100, 1'000));
   const double left = broker.m_limits.at("north").m_tokens;
-  std::vector<PlaceAnswer> out;
+  std::vector<SlotResponse> out;
   TickBroker(broker, kStart + Duration(199'000), out);
   CHECK(out.empty());
   TickBroker(broker, kStart + Duration(200'000), out);
   REQUIRE(out.size() == 1);
-  CHECK(out[0].m_verdict == PlaceVerdict::kNoRoom);
+  CHECK(out[0].m_verdict == SlotVerdict::kNoRoom);
   CHECK(broker.m_limits.at("north").m_tokens == Approx(left + 100));
 }
 
 TEST_CASE("a limit is charged with the place and given back only where no server ran the request") {
-  PlaceBroker broker = BrokerWith({Server("s0", 4)});
+  SlotBroker broker = BrokerWith({Server("s0", 4)});
   (void)AskFor(broker, "a", Costly(1, 100, 1'000));
   (void)AskFor(broker, "a", Costly(2, 100, 1'000));
   const double left = broker.m_limits.at("north").m_tokens;
-  std::vector<PlaceAnswer> out;
-  Report(broker, "a", End(1, true), kStart, out);
+  std::vector<SlotResponse> out;
+  ApplyReport(broker, "a", End(1, true), kStart, out);
   CHECK(broker.m_limits.at("north").m_tokens == Approx(left));
-  Report(broker, "a", End(2, false), kStart, out);
+  ApplyReport(broker, "a", End(2, false), kStart, out);
   CHECK(broker.m_limits.at("north").m_tokens == Approx(left + 100));
   // A second word on the same place changes nothing.
-  Report(broker, "a", End(2, false), kStart, out);
+  ApplyReport(broker, "a", End(2, false), kStart, out);
   CHECK(broker.m_limits.at("north").m_tokens == Approx(left + 100));
   CHECK(Taken(broker) == 0);
 }
 
 TEST_CASE("the places of an instance that is gone come free") {
-  PlaceBroker broker = BrokerWith({Server("s0", 1)});
+  SlotBroker broker = BrokerWith({Server("s0", 1)});
   (void)AskFor(broker, "a", PlaceWanted(1));
   (void)AskFor(broker, "b", PlaceWanted(2));
-  std::vector<PlaceAnswer> out;
-  DropHolder(broker, "a", kStart + Duration(1'000), out);
+  std::vector<SlotResponse> out;
+  RemoveInstance(broker, "a", kStart + Duration(1'000), out);
   REQUIRE(out.size() == 1);
-  CHECK(out[0].m_holder == "b");
-  CHECK(out[0].m_verdict == PlaceVerdict::kPlaced);
+  CHECK(out[0].m_instance == "b");
+  CHECK(out[0].m_verdict == SlotVerdict::kPlaced);
   CHECK(Taken(broker) == 1);
 }
 
 TEST_CASE("an instance that tells anew what it holds is counted once") {
-  PlaceBroker broker = BrokerWith({Server("s0", 4)});
+  SlotBroker broker = BrokerWith({Server("s0", 4)});
   (void)AskFor(broker, "a", PlaceWanted(1));
   (void)AskFor(broker, "a", PlaceWanted(2));
-  PlaceBatch batch;
+  SlotBatch batch;
   batch.m_epoch = 1;
   batch.m_resync = true;
   batch.m_instances = 2;
   batch.m_held = {{.m_ref = 2, .m_server = "s0"}};
-  std::vector<PlaceAnswer> out;
-  TakeBatch(broker, "a", batch, kStart, out);
-  TakeBatch(broker, "a", batch, kStart, out);
+  std::vector<SlotResponse> out;
+  ApplyBatch(broker, "a", batch, kStart, out);
+  ApplyBatch(broker, "a", batch, kStart, out);
   CHECK(Taken(broker) == 1);
 }
 
 TEST_CASE("a new broker gives out only the part of places whose holders have told") {
-  PlaceBroker broker = BeginBroker(2, 7, Duration(4'500'000), kStart);
+  SlotBroker broker = MakeSlotBroker(2, 7, Duration(4'500'000), kStart);
   SetServers(broker, {Server("s0", 8)});
   Resync(broker, "a", 4, kStart);
   int placed = 0;
-  for (PlaceRef ref = 1; ref <= 8; ++ref)
-    placed += AskFor(broker, "a", PlaceWanted(ref))[0].m_verdict == PlaceVerdict::kPlaced ? 1 : 0;
+  for (SlotRef ref = 1; ref <= 8; ++ref)
+    placed += AskFor(broker, "a", PlaceWanted(ref))[0].m_verdict == SlotVerdict::kPlaced ? 1 : 0;
   CHECK(placed == 2);
-  for (const std::string holder : {"b", "c", "d"})
-    Resync(broker, holder, 4, kStart);
-  std::vector<PlaceAnswer> out;
+  for (const std::string instance : {"b", "c", "d"})
+    Resync(broker, instance, 4, kStart);
+  std::vector<SlotResponse> out;
   TickBroker(broker, kStart + Duration(20'000), out);
   CHECK(out.size() == 6);
 }
 
 TEST_CASE("a broker that hears only some instances grants only their share of a limit's rate") {
-  PlaceBroker broker = BeginBroker(2, 7, Duration(4'500'000), kStart);
+  SlotBroker broker = MakeSlotBroker(2, 7, Duration(4'500'000), kStart);
   SetServers(broker, {Server("s0", 8)});
-  for (const std::string holder : {"a", "b", "c", "d"})
-    Resync(broker, holder, 4, kStart);
-  CHECK(HeardShare(broker) == 1);
-  std::vector<PlaceAnswer> out;
-  broker.m_holders.at("a").m_heard = kStart + 2 * kSecond;
+  for (const std::string instance : {"a", "b", "c", "d"})
+    Resync(broker, instance, 4, kStart);
+  CHECK(ReachableShare(broker) == 1);
+  std::vector<SlotResponse> out;
+  broker.m_instance_slots.at("a").m_last_heard = kStart + 2 * kSecond;
   TickBroker(broker, kStart + 2 * kSecond, out);
-  CHECK(HeardShare(broker) == 0.25);
+  CHECK(ReachableShare(broker) == 0.25);
   // Who is silent for longer than it may serve no longer counts.
-  broker.m_holders.at("a").m_heard = kStart + 7 * kSecond;
+  broker.m_instance_slots.at("a").m_last_heard = kStart + 7 * kSecond;
   TickBroker(broker, kStart + 7 * kSecond, out);
-  CHECK(HeardShare(broker) == 1);
+  CHECK(ReachableShare(broker) == 1);
 }
 
 TEST_CASE("what an earlier broker said to be left is taken over, its own word is not") {
-  PlaceBroker broker = BeginBroker(2, 7, Duration(4'500'000), kStart);
-  LimitReport word{"north", {1'000, 1'000}, 300, Duration(100'000), 1, 0};
-  HearLimit(broker, word, kStart);
+  SlotBroker broker = MakeSlotBroker(2, 7, Duration(4'500'000), kStart);
+  LimitReport report{"north", {1'000, 1'000}, 300, Duration(100'000), 1, 0};
+  HearLimit(broker, report, kStart);
   CHECK(broker.m_limits.at("north").m_tokens == Approx(400));
-  word.m_age = Duration(200'000);
-  word.m_left = 900;
-  HearLimit(broker, word, kStart);  // An older word.
+  report.m_age = Duration(200'000);
+  report.m_limit_left = 900;
+  HearLimit(broker, report, kStart);  // An older word.
   CHECK(broker.m_limits.at("north").m_tokens == Approx(400));
-  word.m_age = Duration(0);
-  word.m_epoch = 2;
-  HearLimit(broker, word, kStart);  // This broker's own word.
+  report.m_age = Duration(0);
+  report.m_epoch = 2;
+  HearLimit(broker, report, kStart);  // This broker's own word.
   CHECK(broker.m_limits.at("north").m_tokens == Approx(400));
-  word.m_spent_alone = 150;
-  HearLimit(broker, word, kStart);
+  report.m_charged_without_broker = 150;
+  HearLimit(broker, report, kStart);
   CHECK(broker.m_limits.at("north").m_tokens == Approx(250));
 }
 
 TEST_CASE("a server that fails is found by all instances' answers together") {
-  PlaceBroker broker = BrokerWith({Server("s0", 8), Server("s1", 8)});
-  std::vector<PlaceAnswer> out;
+  SlotBroker broker = BrokerWith({Server("s0", 8), Server("s1", 8)});
+  std::vector<SlotResponse> out;
   int failures = 0;
-  for (PlaceRef ref = 1; ref <= 40; ++ref) {
-    const std::string holder = ref % 2 == 0 ? "a" : "b";
-    const PlaceAnswer answer = AskFor(broker, holder, PlaceWanted(ref))[0];
-    REQUIRE(answer.m_verdict == PlaceVerdict::kPlaced);
-    PlaceReport report = End(ref);
+  for (SlotRef ref = 1; ref <= 40; ++ref) {
+    const std::string instance = ref % 2 == 0 ? "a" : "b";
+    const SlotResponse answer = AskFor(broker, instance, PlaceWanted(ref))[0];
+    REQUIRE(answer.m_verdict == SlotVerdict::kPlaced);
+    SlotReport report = End(ref);
     const bool bad = answer.m_server == "s0";
     failures += bad ? 1 : 0;
-    report.m_sign = bad ? ServerSign::kBad : ServerSign::kGood;
-    Report(broker, holder, report, kStart, out);
+    report.m_health_signal = bad ? HealthSignal::kFailure : HealthSignal::kSuccess;
+    ApplyReport(broker, instance, report, kStart, out);
   }
   CHECK(failures == 3);
 }
 
 TEST_CASE("a server that failed is tried out with one request at a time, ever more slowly") {
-  PlaceBroker broker = BrokerWith({Server("s0", 8), Server("s1", 8), Server("s2", 8)});
-  std::vector<PlaceAnswer> out;
+  SlotBroker broker = BrokerWith({Server("s0", 8), Server("s1", 8), Server("s2", 8)});
+  std::vector<SlotResponse> out;
   std::vector<Instant> tries;
   Instant now = kStart;
-  PlaceRef ref = 0;
+  SlotRef ref = 0;
   for (int step = 0; step < 2'000; ++step, now += Duration(5'000)) {
-    Ask(broker, "a", PlaceWanted(++ref), now, out);
-    const PlaceAnswer answer = out.back();
-    REQUIRE(answer.m_verdict == PlaceVerdict::kPlaced);
-    PlaceReport report = End(ref);
-    report.m_sign = answer.m_server == "s0" ? ServerSign::kBad : ServerSign::kGood;
+    RequestSlot(broker, "a", PlaceWanted(++ref), now, out);
+    const SlotResponse answer = out.back();
+    REQUIRE(answer.m_verdict == SlotVerdict::kPlaced);
+    SlotReport report = End(ref);
+    report.m_health_signal =
+        answer.m_server == "s0" ? HealthSignal::kFailure : HealthSignal::kSuccess;
     if (answer.m_server == "s0")
       tries.push_back(now);
-    Report(broker, "a", report, now, out);
+    ApplyReport(broker, "a", report, now, out);
   }
   REQUIRE(tries.size() >= 6);
   CHECK(tries.size() <= 9);
@@ -247,59 +250,59 @@
 }
 
 TEST_CASE("while a trial is under way no other request goes to the server") {
-  PlaceBroker broker = BrokerWith({Server("s0", 8), Server("s1", 1), Server("s2", 1)});
+  SlotBroker broker = BrokerWith({Server("s0", 8), Server("s1", 1), Server("s2", 1)});
   broker.m_pools.at("engines").m_health[0] =
-      ServerHealth{.m_failures = 3, .m_avoid_until = kStart - Duration(1)};
+      ServerHealth{.m_failures = 3, .m_ejected_until = kStart - Duration(1)};
   int at_suspect = 0;
-  for (PlaceRef ref = 1; ref <= 4; ++ref)
+  for (SlotRef ref = 1; ref <= 4; ++ref)
     at_suspect += AskFor(broker, "a", PlaceWanted(ref))[0].m_server == "s0" ? 1 : 0;
   CHECK(at_suspect == 1);
 }
 
 TEST_CASE("half of a pool stays in use however many servers fail") {
-  PlaceBroker broker =
+  SlotBroker broker =
       BrokerWith({Server("s0", 1), Server("s1", 1), Server("s2", 1), Server("s3", 1)});
-  PlacePool& pool = broker.m_pools.at("engines");
+  SlotPool& pool = broker.m_pools.at("engines");
   for (std::size_t i = 0; i < 4; ++i) {
     pool.m_health[i].m_failures = 5;
-    pool.m_health[i].m_failed_share = 0.9 - 0.1 * static_cast<double>(i);
-    pool.m_health[i].m_avoid_until = kStart + kSecond;
+    pool.m_health[i].m_failure_rate = 0.9 - 0.1 * static_cast<double>(i);
+    pool.m_health[i].m_ejected_until = kStart + kSecond;
   }
   std::set<std::string> used;
-  for (PlaceRef ref = 1; ref <= 4; ++ref)
+  for (SlotRef ref = 1; ref <= 4; ++ref)
     used.insert(AskFor(broker, "a", PlaceWanted(ref))[0].m_server);
   CHECK(used == std::set<std::string>{"", "s2", "s3"});
 }
 
 TEST_CASE("a server that begins to leave gets nothing more, and what it has is still counted") {
-  PlaceBroker broker = BrokerWith({Server("s0", 2)});
+  SlotBroker broker = BrokerWith({Server("s0", 2)});
   (void)AskFor(broker, "a", PlaceWanted(1));
-  PlaceServer leaving = Server("s0", 2);
+  BackendServer leaving = Server("s0", 2);
   leaving.m_leaving = true;
   SetServers(broker, {leaving, Server("s1", 2)});
   CHECK(Taken(broker) == 1);
-  for (PlaceRef ref = 2; ref <= 3; ++ref)
+  for (SlotRef ref = 2; ref <= 3; ++ref)
     CHECK(AskFor(broker, "a", PlaceWanted(ref))[0].m_server == "s1");
-  std::vector<PlaceAnswer> out;
-  Report(broker, "a", End(1), kStart, out);
+  std::vector<SlotResponse> out;
+  ApplyReport(broker, "a", End(1), kStart, out);
   CHECK(Taken(broker) == 2);
 }
 
 TEST_CASE("a prompt goes where its parts are kept, if that costs no wait") {
-  PlaceBroker broker = BrokerWith({Server("s0", 8), Server("s1", 8), Server("s2", 8)});
-  PlaceAsk first = PlaceWanted(1);
-  first.m_parts = {{11, 60}, {12, 500}};
+  SlotBroker broker = BrokerWith({Server("s0", 8), Server("s1", 8), Server("s2", 8)});
+  SlotRequest first = PlaceWanted(1);
+  first.m_prompt_segments = {{11, 60}, {12, 500}};
   const std::string server = AskFor(broker, "a", first)[0].m_server;
-  std::vector<PlaceAnswer> out;
-  PlaceReport end = End(1);
-  end.m_first = Duration(40'000);
+  std::vector<SlotResponse> out;
+  SlotReport end = End(1);
+  end.m_time_to_first_event = Duration(40'000);
   end.m_tokens_read = 600;
-  Report(broker, "a", end, kStart, out);
-  for (PlaceRef ref = 2; ref <= 4; ++ref) {
-    PlaceAsk again = first;
+  ApplyReport(broker, "a", end, kStart, out);
+  for (SlotRef ref = 2; ref <= 4; ++ref) {
+    SlotRequest again = first;
     again.m_ref = ref;
     CHECK(AskFor(broker, "b", again)[0].m_server == server);
-    Report(broker, "b", End(ref), kStart, out);
+    ApplyReport(broker, "b", End(ref), kStart, out);
   }
 }
 
@@ -307,38 +310,38 @@
   // A pool that is full and short, whose places came free all the time: what can't be served in
   // time is refused at once, with a time to come back.
   const auto verdict_of_last = [](bool servers_change) {
-    PlaceBroker broker = BrokerWith({Server("s0", 4), Server("s1", 4)});
-    PlaceServer leaving = Server("s2", 4);
+    SlotBroker broker = BrokerWith({Server("s0", 4), Server("s1", 4)});
+    BackendServer leaving = Server("s2", 4);
     leaving.m_leaving = true;
-    std::vector<PlaceAnswer> out;
+    std::vector<SlotResponse> out;
     Instant now = kStart;
-    PlaceRef ref = 0;
+    SlotRef ref = 0;
     for (int i = 0; i < 8; ++i)
-      Ask(broker, "a", PlaceWanted(++ref), now, out);
-    for (PlaceRef ended = 1; ended <= 24; ++ended) {
+      RequestSlot(broker, "a", PlaceWanted(++ref), now, out);
+    for (SlotRef ended = 1; ended <= 24; ++ended) {
       now += Duration(100'000);
-      Report(broker, "a", End(ended), now, out);
-      Ask(broker, "a", PlaceWanted(++ref), now, out);
+      ApplyReport(broker, "a", End(ended), now, out);
+      RequestSlot(broker, "a", PlaceWanted(++ref), now, out);
     }
     for (int i = 0; i < 40; ++i)
-      Ask(broker, "b", PlaceWanted(++ref), now, out);
+      RequestSlot(broker, "b", PlaceWanted(++ref), now, out);
     if (servers_change)
       SetServers(broker, {Server("s0", 4), Server("s1", 4), leaving});
-    Ask(broker, "b", PlaceWanted(++ref), now, out);
+    RequestSlot(broker, "b", PlaceWanted(++ref), now, out);
     return out.back();
   };
-  CHECK(verdict_of_last(false).m_verdict == PlaceVerdict::kNoRoom);
-  CHECK(verdict_of_last(true).m_verdict == PlaceVerdict::kNoRoom);
+  CHECK(verdict_of_last(false).m_verdict == SlotVerdict::kNoRoom);
+  CHECK(verdict_of_last(true).m_verdict == SlotVerdict::kNoRoom);
 }
 
 /// A pool of two versions with a roll-out to v2 under way.
-PlaceBroker InRollout(bool moving, std::int64_t allowed) {
-  std::vector<PlaceServer> servers;
+SlotBroker InRollout(bool moving, std::int64_t allowed) {
+  std::vector<BackendServer> servers;
   for (int i = 0; i < 8; ++i) {
     servers.push_back(Server("s" + std::to_string(i), 8));
     servers.back().m_version = i < 4 ? "v1" : "v2";
   }
-  PlaceBroker broker = BrokerWith(servers);
+  SlotBroker broker = BrokerWith(servers);
   SetRollouts(broker, {{"engines", {1, "v2", moving, 0, 0}}}, {0.1, 50});
   broker.m_pools.at("engines").m_trial->m_allowed = allowed;
   return broker;
@@ -348,41 +351,41 @@
   return server >= "s4";
 }
 
-int AtTarget(PlaceBroker& broker, int asks) {
+int AtTarget(SlotBroker& broker, int asks) {
   int at_target = 0;
-  std::vector<PlaceAnswer> out;
-  for (PlaceRef ref = 1; ref <= asks; ++ref) {
-    const PlaceAnswer answer = AskFor(broker, "a", PlaceWanted(ref))[0];
+  std::vector<SlotResponse> out;
+  for (SlotRef ref = 1; ref <= asks; ++ref) {
+    const SlotResponse answer = AskFor(broker, "a", PlaceWanted(ref))[0];
     at_target += IsTarget(answer.m_server) ? 1 : 0;
-    Report(broker, "a", End(ref), kStart, out);
+    ApplyReport(broker, "a", End(ref), kStart, out);
   }
   return at_target;
 }
 
 TEST_CASE("a version on trial gets as many requests as the log allows, and no more") {
-  PlaceBroker none = InRollout(false, 0);
+  SlotBroker none = InRollout(false, 0);
   CHECK(AtTarget(none, 40) == 0);
-  PlaceBroker some = InRollout(false, 5);
+  SlotBroker some = InRollout(false, 5);
   CHECK(AtTarget(some, 40) == 5);
   CHECK(some.m_pools.at("engines").m_trial->m_requests == 40);
 }
 
 TEST_CASE("while work moves all that is new goes to the target version") {
-  PlaceBroker broker = InRollout(true, 0);
+  SlotBroker broker = InRollout(true, 0);
   CHECK(AtTarget(broker, 20) == 20);
 }
 
 TEST_CASE("a version that is found bad gets nothing more, on trial or while work moves") {
   for (const bool moving : {false, true}) {
-    PlaceBroker broker = InRollout(moving, 100);
+    SlotBroker broker = InRollout(moving, 100);
     broker.m_pools.at("engines").m_trial->m_finding = TrialFinding::kFails;
     CHECK(AtTarget(broker, 20) == 0);
   }
 }
 
 TEST_CASE("a version on trial does the work where no other server is left") {
-  PlaceBroker broker = InRollout(false, 0);
-  std::vector<PlaceServer> servers = broker.m_pools.at("engines").m_servers;
+  SlotBroker broker = InRollout(false, 0);
+  std::vector<BackendServer> servers = broker.m_pools.at("engines").m_servers;
   for (std::size_t i = 0; i < 4; ++i)
     servers[i].m_leaving = true;
   SetServers(broker, servers);
@@ -390,21 +393,21 @@
 }
 
 TEST_CASE("answers with failures are told apart by version and route") {
-  PlaceBroker broker = InRollout(false, 0);
+  SlotBroker broker = InRollout(false, 0);
   RolloutTrial& trial = *broker.m_pools.at("engines").m_trial;
-  std::vector<PlaceAnswer> out;
-  for (PlaceRef ref = 1; ref <= 600; ++ref) {
+  std::vector<SlotResponse> out;
+  for (SlotRef ref = 1; ref <= 600; ++ref) {
     // As the leader's steps let it out.
     trial.m_allowed = std::min<std::int64_t>(ref / 8, AllowedBy({0.1, 50}, trial.m_requests));
-    PlaceAsk ask = PlaceWanted(ref);
-    ask.m_route = 7;
-    const PlaceAnswer answer = AskFor(broker, "a", ask)[0];
-    if (answer.m_verdict != PlaceVerdict::kPlaced)
+    SlotRequest slot_request = PlaceWanted(ref);
+    slot_request.m_route = 7;
+    const SlotResponse answer = AskFor(broker, "a", slot_request)[0];
+    if (answer.m_verdict != SlotVerdict::kPlaced)
       continue;
-    PlaceReport report = End(ref);
+    SlotReport report = End(ref);
     report.m_failed = IsTarget(answer.m_server) && ref % 5 < 2;
-    report.m_sign = report.m_failed ? ServerSign::kBad : ServerSign::kGood;
-    Report(broker, "a", report, kStart + Duration(ref * 10'000), out);
+    report.m_health_signal = report.m_failed ? HealthSignal::kFailure : HealthSignal::kSuccess;
+    ApplyReport(broker, "a", report, kStart + Duration(ref * 10'000), out);
   }
   CAPTURE(trial.m_runs, trial.m_bad_runs, trial.m_sent, trial.m_target_routes.at(7).m_against);
   CHECK(IsBad(trial.m_finding));
@@ -414,7 +417,7 @@
 }
 
 TEST_CASE("a trial outlasts a change of servers and ends with its roll-out") {
-  PlaceBroker broker = InRollout(false, 5);
+  SlotBroker broker = InRollout(false, 5);
   CHECK(AtTarget(broker, 10) == 5);
   SetServers(broker, broker.m_pools.at("engines").m_servers);
   SetRollouts(broker, {{"engines", {1, "v2", false, 4, 9}}}, {0.1, 50});
--- a/tests/place_flow_test.cc
+++ b/tests/slot_turnover_test.cc
@@ -11,8 +11,8 @@
 const Instant kStart{Duration(10'000'000)};
 
 /// A pool that frees and is asked for this many places a second, for five seconds.
-PlaceFlow Steady(int freed_per_s, int urgent_per_s) {
-  PlaceFlow flow;
+SlotTurnover Steady(int freed_per_s, int urgent_per_s) {
+  SlotTurnover flow;
   flow.m_at = kStart;
   for (int ms = 0; ms < 5'000; ++ms) {
     const Instant now = kStart + ms * Duration(1'000);
@@ -25,26 +25,26 @@
 }
 
 TEST_CASE("a request waits for those ahead of it at the rate at which places come free") {
-  const PlaceFlow flow = Steady(100, 0);
+  const SlotTurnover flow = Steady(100, 0);
   const std::optional<Duration> forecast = ForecastWait(flow, 0, 9, 10);
   REQUIRE(forecast);
   CHECK(Seconds(*forecast) == Approx(0.1).epsilon(0.05));
 }
 
 TEST_CASE("what is more urgent goes on to arrive and takes its part of the places first") {
-  const PlaceFlow flow = Steady(100, 60);
+  const SlotTurnover flow = Steady(100, 60);
   CHECK(Seconds(*ForecastWait(flow, 0, 9, 10)) == Approx(0.1).epsilon(0.05));
   CHECK(Seconds(*ForecastWait(flow, 1, 9, 10)) == Approx(0.25).epsilon(0.1));
   CHECK(*ForecastWait(Steady(100, 120), 1, 0, 10) == kLongestWait);
 }
 
 TEST_CASE("a pool that was half used frees twice as much once it is full") {
-  const PlaceFlow flow = Steady(50, 0);  // Five of ten places, 100 ms each.
+  const SlotTurnover flow = Steady(50, 0);  // Five of ten places, 100 ms each.
   CHECK(Seconds(*ForecastWait(flow, 0, 9, 10)) == Approx(0.1).epsilon(0.05));
 }
 
 TEST_CASE("nothing is forecast from next to nothing, and a burst is forgotten within seconds") {
-  PlaceFlow flow;
+  SlotTurnover flow;
   CHECK_FALSE(ForecastWait(flow, 0, 0, 0));
   flow = Steady(100, 200);
   CHECK(*ForecastWait(flow, 2, 0, 10) == kLongestWait);
@@ -56,36 +56,36 @@
 TEST_CASE(
     "a burst over capacity is refused at once beyond what can be in time, told when to return") {
   // 200 short requests at once for ten places that are each free again after 100 ms.
-  PlaceBroker broker = BeginBroker(1, 7, Duration(4'500'000), kStart);
+  SlotBroker broker = MakeSlotBroker(1, 7, Duration(4'500'000), kStart);
   SetServers(broker, {{"s0", "pool", "east", 10, false}});
   Resync(broker, "a", 1, kStart);
-  std::vector<PlaceAnswer> out;
-  PlaceRef next = 1;
+  std::vector<SlotResponse> out;
+  SlotRef next = 1;
   const auto want_place = [&](Instant now) {
-    PlaceAsk ask;
-    ask.m_ref = next++;
-    ask.m_pool = "pool";
-    ask.m_data_centre = "east";
-    ask.m_shape.m_prompt_tokens = 300;
-    ask.m_shape.m_aim = Duration(800'000);
-    ask.m_shape.m_left = Duration(10'000'000);
-    ask.m_wait = Duration(10'000'000);
-    Ask(broker, "a", ask, now, out);
+    SlotRequest slot_request;
+    slot_request.m_ref = next++;
+    slot_request.m_pool = "pool";
+    slot_request.m_data_centre = "east";
+    slot_request.m_shape.m_prompt_tokens = 300;
+    slot_request.m_shape.m_latency_target = Duration(800'000);
+    slot_request.m_shape.m_left = Duration(10'000'000);
+    slot_request.m_wait = Duration(10'000'000);
+    RequestSlot(broker, "a", slot_request, now, out);
   };
-  std::vector<std::pair<Instant, PlaceRef>> running;
+  std::vector<std::pair<Instant, SlotRef>> running;
   std::size_t read = 0;
   int placed = 0;
   int late = 0;
   int refused_at_once = 0;
   const auto take = [&](Instant now, Instant asked) {
     for (; read < out.size(); ++read) {
-      const PlaceAnswer& answer = out[read];
-      if (answer.m_verdict == PlaceVerdict::kPlaced) {
+      const SlotResponse& answer = out[read];
+      if (answer.m_verdict == SlotVerdict::kPlaced) {
         running.emplace_back(now + Duration(100'000), answer.m_ref);
         ++placed;
         late += now - asked > Duration(800'000) ? 1 : 0;
-      } else if (answer.m_verdict == PlaceVerdict::kNoRoom && now == asked) {
-        CHECK(answer.m_come_back > Duration(500'000));
+      } else if (answer.m_verdict == SlotVerdict::kNoRoom && now == asked) {
+        CHECK(answer.m_estimated_wait > Duration(500'000));
         ++refused_at_once;
       }
     }
@@ -98,11 +98,11 @@
         ++i;
         continue;
       }
-      PlaceReport end;
+      SlotReport end;
       end.m_ref = running[i].second;
       end.m_ended = true;
       running.erase(running.begin() + static_cast<std::ptrdiff_t>(i));
-      Report(broker, "a", end, now, out);
+      ApplyReport(broker, "a", end, now, out);
     }
     if (ms < 2'000 && ms % 20 == 0)
       want_place(now);  // Half of the capacity, so that the flow is known.
--- a/tests/cold_ramp_test.cc
+++ b/tests/slow_start_test.cc
@@ -19,7 +19,7 @@
 constexpr Duration kTick{20'000};
 constexpr Duration kLongAgo{60'000'000};
 const Instant kStart{Duration(100'000'000)};
-const ColdLimit kLimit = WithMost({12, 8 * kSecond, 0}, {1.5, 5});
+const SlowStartLimit kLimit = WithTolerance({12, 8 * kSecond, 0}, {1.5, 5});
 constexpr int kMost = 23;
 
 struct Sent {
@@ -45,8 +45,8 @@
   return most;
 }
 
-PlaceServer ServerNamed(const std::string& id, Duration cold_left = {}) {
-  PlaceServer server;
+BackendServer ServerNamed(const std::string& id, Duration cold_left = {}) {
+  BackendServer server;
   server.m_id = id;
   server.m_pool = "apps";
   server.m_data_centre = "east";
@@ -55,8 +55,8 @@
   return server;
 }
 
-std::vector<PlaceServer> Servers(int count, Duration cold_left = {}) {
-  std::vector<PlaceServer> servers;
+std::vector<BackendServer> Servers(int count, Duration cold_left = {}) {
+  std::vector<BackendServer> servers;
   for (int i = 0; i < count; ++i)
     servers.push_back(ServerNamed("s" + std::to_string(i), cold_left));
   return servers;
@@ -65,39 +65,39 @@
 /// A broker before callers that always have more to ask for than there are places. It began long
 /// before.
 struct Rush {
-  PlaceBroker m_broker;
+  SlotBroker m_broker;
   Instant m_now = kStart;
   std::vector<Sent> m_sent;
-  std::map<PlaceVerdict, int> m_verdicts;
-  std::deque<std::pair<Instant, PlaceRef>> m_ends;
-  PlaceRef m_next = 1;
+  std::map<SlotVerdict, int> m_verdicts;
+  std::deque<std::pair<Instant, SlotRef>> m_ends;
+  SlotRef m_next = 1;
   int m_per_tick = 40;
   Duration m_held{200'000};
 
-  explicit Rush(const std::vector<PlaceServer>& servers,
+  explicit Rush(const std::vector<BackendServer>& servers,
                 Instant began = kStart - kLongAgo,
                 bool limited = true)
-      : m_broker(BeginBroker(1, 7, Duration(4'500'000), began)) {
+      : m_broker(MakeSlotBroker(1, 7, Duration(4'500'000), began)) {
     Resync(m_broker, "a", 1, began);
     Take(servers, limited, std::max(began, kStart));
   }
 
-  void Take(const std::vector<PlaceServer>& servers, bool limited, Instant now) {
+  void Take(const std::vector<BackendServer>& servers, bool limited, Instant now) {
     SetServers(m_broker, servers);
     if (limited)
-      SetColdLimits(m_broker, {{"apps", kLimit}});
-    TakeColdNews(m_broker, now);
+      SetSlowStartLimits(m_broker, {{"apps", kLimit}});
+    UpdateSlowStart(m_broker, now);
   }
-  void Take(const std::vector<PlaceServer>& servers) { Take(servers, true, m_now); }
+  void Take(const std::vector<BackendServer>& servers) { Take(servers, true, m_now); }
 
-  [[nodiscard]] const ColdRamp& RampOf(std::size_t i) const {
-    return m_broker.m_pools.at("apps").m_ramps[i];
+  [[nodiscard]] const SlowStartState& RampOf(std::size_t i) const {
+    return m_broker.m_pools.at("apps").m_slow_starts[i];
   }
 
-  void Note(const std::vector<PlaceAnswer>& answers) {
-    for (const PlaceAnswer& answer : answers) {
+  void Note(const std::vector<SlotResponse>& answers) {
+    for (const SlotResponse& answer : answers) {
       ++m_verdicts[answer.m_verdict];
-      if (answer.m_verdict != PlaceVerdict::kPlaced)
+      if (answer.m_verdict != SlotVerdict::kPlaced)
         continue;
       m_sent.push_back({answer.m_server, m_now});
       m_ends.emplace_back(m_now + m_held, answer.m_ref);
@@ -105,28 +105,28 @@
   }
 
   void AskOnce(Duration wait = 2 * kSecond) {
-    PlaceAsk ask;
-    ask.m_ref = m_next++;
-    ask.m_pool = "apps";
-    ask.m_data_centre = "east";
-    ask.m_shape.m_aim = 4 * kSecond;
-    ask.m_shape.m_left = 4 * kSecond;
-    ask.m_wait = wait;
-    std::vector<PlaceAnswer> out;
-    Ask(m_broker, "a", ask, m_now, out);
+    SlotRequest slot_request;
+    slot_request.m_ref = m_next++;
+    slot_request.m_pool = "apps";
+    slot_request.m_data_centre = "east";
+    slot_request.m_shape.m_latency_target = 4 * kSecond;
+    slot_request.m_shape.m_left = 4 * kSecond;
+    slot_request.m_wait = wait;
+    std::vector<SlotResponse> out;
+    RequestSlot(m_broker, "a", slot_request, m_now, out);
     Note(out);
   }
 
   void EndCalls() {
     while (!m_ends.empty() && m_ends.front().first <= m_now) {
-      PlaceReport report;
+      SlotReport report;
       report.m_ref = m_ends.front().second;
       report.m_ended = true;
-      report.m_sign = ServerSign::kGood;
+      report.m_health_signal = HealthSignal::kSuccess;
       report.m_service = m_held;
       m_ends.pop_front();
-      std::vector<PlaceAnswer> out;
-      Report(m_broker, "a", report, m_now, out);
+      std::vector<SlotResponse> out;
+      ApplyReport(m_broker, "a", report, m_now, out);
       Note(out);
     }
   }
@@ -136,7 +136,7 @@
       EndCalls();
       for (int i = 0; i < m_per_tick; ++i)
         AskOnce();
-      std::vector<PlaceAnswer> out;
+      std::vector<SlotResponse> out;
       TickBroker(m_broker, m_now, out);
       Note(out);
     }
@@ -145,14 +145,14 @@
 
 /// One instance that decides alone before a cold server and always has a request for it.
 struct Lone {
-  ColdRamp m_ramp;
+  SlowStartState m_slow_start;
   void Step(int instances, std::mt19937& random, Instant now, std::vector<Sent>& sent) {
     std::uniform_real_distribution<double> part(0, 1);
-    BeginAlone(m_ramp, kLimit, instances, part(random), now);
-    if (!MaySendAlone(m_ramp, kLimit, now))
+    BeginSendsWithoutBroker(m_slow_start, kLimit, instances, part(random), now);
+    if (!MaySendWithoutBroker(m_slow_start, kLimit, now))
       return;
     sent.push_back({"s0", now});
-    NoteSentAlone(m_ramp, kLimit, instances, now);
+    RecordSendWithoutBroker(m_slow_start, kLimit, instances, now);
   }
 };
 
@@ -160,7 +160,7 @@
   std::mt19937 random(seed);
   std::vector<Lone> lone(static_cast<std::size_t>(alone));
   for (Lone& one : lone)
-    one.m_ramp.m_cold_until = kStart + kLongAgo;
+    one.m_slow_start.m_cold_until = kStart + kLongAgo;
   std::vector<Sent> sent;
   for (Instant now = kStart; now < kStart + 8 * kSecond; now += kTick) {
     for (Lone& one : lone)
@@ -176,14 +176,14 @@
   CHECK(MostInASecond(rush.m_sent) <= 12);
   // Nothing is left unused either, nor refused as if there were no servers.
   CHECK(rush.m_sent.size() >= 32 * 12 * 5 * 9 / 10);
-  CHECK(rush.m_verdicts[PlaceVerdict::kNoServer] == 0);
+  CHECK(rush.m_verdicts[SlotVerdict::kNoServer] == 0);
 }
 
 TEST_CASE("a new empty server that is cold doesn't draw everything") {
   Rush rush(Servers(4));
   rush.m_per_tick = 8;
   rush.Run(kSecond);
-  std::vector<PlaceServer> more = Servers(4);
+  std::vector<BackendServer> more = Servers(4);
   more.push_back(ServerNamed("new", 8 * kSecond));
   rush.Take(more);
   rush.m_sent.clear();
@@ -198,18 +198,18 @@
   rush.m_now = kStart;
   for (int i = 0; i < 24; ++i)
     rush.AskOnce();
-  CHECK(rush.m_verdicts[PlaceVerdict::kPlaced] == 6);  // A quarter of what two handle.
-  CHECK(rush.m_verdicts[PlaceVerdict::kQueued] == 18);
+  CHECK(rush.m_verdicts[SlotVerdict::kPlaced] == 6);  // A quarter of what two handle.
+  CHECK(rush.m_verdicts[SlotVerdict::kQueued] == 18);
   rush.m_per_tick = 0;
   rush.Run(kSecond);
-  CHECK(rush.m_verdicts[PlaceVerdict::kPlaced] == 24);
-  CHECK(rush.m_verdicts[PlaceVerdict::kNoRoom] == 0);
+  CHECK(rush.m_verdicts[SlotVerdict::kPlaced] == 24);
+  CHECK(rush.m_verdicts[SlotVerdict::kNoRoom] == 0);
 }
 
 TEST_CASE("cold servers that are full aren't made up for by suspect ones") {
   Rush rush(Servers(4, 8 * kSecond));
   ServerHealth suspect;
-  suspect.m_avoid_until = kStart + 4 * kSecond;
+  suspect.m_ejected_until = kStart + 4 * kSecond;
   rush.m_broker.m_pools.at("apps").m_health[3] = suspect;
   rush.m_per_tick = 0;
   for (int i = 0; i < 30; ++i)
@@ -256,9 +256,9 @@
   std::mt19937 random(seed);
   std::vector<Lone> lone(static_cast<std::size_t>(alone));
   for (Lone& one : lone) {
-    one.m_ramp.m_cold_until = kStart + kLongAgo;
-    BeginAlone(one.m_ramp, kLimit, kInstances, std::uniform_real_distribution<>(0, 1)(random),
-               kStart);
+    one.m_slow_start.m_cold_until = kStart + kLongAgo;
+    BeginSendsWithoutBroker(one.m_slow_start, kLimit, kInstances,
+                            std::uniform_real_distribution<>(0, 1)(random), kStart);
   }
   std::vector<Sent> sent;
   const Instant full = kStart + 15 * kSecond;
@@ -340,42 +340,42 @@
 TEST_CASE("a server that gave no connection is presumed cold from its next answer on") {
   Rush rush(Servers(2));
   rush.Run(kSecond);
-  PlacePool& pool = rush.m_broker.m_pools.at("apps");
-  PlaceReport report;
-  std::vector<PlaceAnswer> out;
+  SlotPool& pool = rush.m_broker.m_pools.at("apps");
+  SlotReport report;
+  std::vector<SlotResponse> out;
   const auto held = [&rush](const std::string& server) {
-    for (const auto& [ref, place] : rush.m_broker.m_holders["a"].m_held) {
+    for (const auto& [ref, place] : rush.m_broker.m_instance_slots["a"].m_held) {
       if (place.m_server == server)
         return ref;
     }
-    return PlaceRef{0};
+    return SlotRef{0};
   };
   report.m_ref = held("s0");
-  report.m_sign = ServerSign::kBad;
-  Report(rush.m_broker, "a", report, rush.m_now, out);
-  CHECK_FALSE(IsCold(pool.m_ramps[0], rush.m_now));  // One broken answer is no start.
+  report.m_health_signal = HealthSignal::kFailure;
+  ApplyReport(rush.m_broker, "a", report, rush.m_now, out);
+  CHECK_FALSE(IsCold(pool.m_slow_starts[0], rush.m_now));  // One broken answer is no start.
   report.m_ref = held("s1");
-  report.m_sign = ServerSign::kUnreachable;
-  Report(rush.m_broker, "a", report, rush.m_now, out);
-  CHECK(IsCold(pool.m_ramps[1], rush.m_now + kLongAgo));
-  report.m_sign = ServerSign::kGood;
-  Report(rush.m_broker, "a", report, rush.m_now, out);
-  CHECK(IsCold(pool.m_ramps[1], rush.m_now + 7 * kSecond));
-  CHECK_FALSE(IsCold(pool.m_ramps[1], rush.m_now + 8 * kSecond));
+  report.m_health_signal = HealthSignal::kUnreachable;
+  ApplyReport(rush.m_broker, "a", report, rush.m_now, out);
+  CHECK(IsCold(pool.m_slow_starts[1], rush.m_now + kLongAgo));
+  report.m_health_signal = HealthSignal::kSuccess;
+  ApplyReport(rush.m_broker, "a", report, rush.m_now, out);
+  CHECK(IsCold(pool.m_slow_starts[1], rush.m_now + 7 * kSecond));
+  CHECK_FALSE(IsCold(pool.m_slow_starts[1], rush.m_now + 8 * kSecond));
 }
 
 TEST_CASE("an answer that is whole but a failure presumes nothing") {
   Rush rush(Servers(1));
   rush.Run(kSecond);
-  PlaceReport report;
-  report.m_sign = ServerSign::kBad;
+  SlotReport report;
+  report.m_health_signal = HealthSignal::kFailure;
   report.m_failed = true;
-  std::vector<PlaceAnswer> out;
-  for (const auto& [ref, place] : rush.m_broker.m_holders["a"].m_held) {
+  std::vector<SlotResponse> out;
+  for (const auto& [ref, place] : rush.m_broker.m_instance_slots["a"].m_held) {
     report.m_ref = ref;
-    Report(rush.m_broker, "a", report, rush.m_now, out);
+    ApplyReport(rush.m_broker, "a", report, rush.m_now, out);
   }
-  REQUIRE(Avoided(rush.m_broker.m_pools.at("apps").m_health[0], rush.m_now));
+  REQUIRE(IsEjected(rush.m_broker.m_pools.at("apps").m_health[0], rush.m_now));
   CHECK_FALSE(IsCold(rush.RampOf(0), rush.m_now));
 }
 
@@ -383,8 +383,8 @@
   Rush rush(Servers(2));
   CHECK_FALSE(IsCold(rush.RampOf(0), kStart));
   rush.Run(kSecond);
-  std::vector<PlaceServer> servers = Servers(3);
-  servers[0].m_born = 7;
+  std::vector<BackendServer> servers = Servers(3);
+  servers[0].m_started_ms = 7;
   rush.Take(servers);
   CHECK(IsCold(rush.RampOf(0), rush.m_now + 7 * kSecond));
   CHECK_FALSE(IsCold(rush.RampOf(1), rush.m_now));
@@ -394,7 +394,7 @@
 TEST_CASE("servers of a data centre whose evacuation ends are presumed cold") {
   Rush rush(Servers(2));
   rush.Run(kSecond);
-  std::vector<PlaceServer> servers = Servers(2);
+  std::vector<BackendServer> servers = Servers(2);
   servers[1].m_evacuated = true;
   rush.Take(servers);
   CHECK_FALSE(IsCold(rush.RampOf(1), rush.m_now));
@@ -410,12 +410,12 @@
 }
 
 TEST_CASE("a limit too small to share gives those who decide alone nothing") {
-  const ColdLimit strict = WithMost({12, 8 * kSecond, 0}, {});
-  ColdRamp ramp;
-  ramp.m_cold_until = kStart + kSecond;
-  BeginAlone(ramp, strict, 8, 0, kStart);
-  CHECK_FALSE(MaySendAlone(ramp, strict, kStart));
-  CHECK(MaySendAlone(ramp, strict, kStart + kSecond));  // Warm.
+  const SlowStartLimit strict = WithTolerance({12, 8 * kSecond, 0}, {});
+  SlowStartState slow_start;
+  slow_start.m_cold_until = kStart + kSecond;
+  BeginSendsWithoutBroker(slow_start, strict, 8, 0, kStart);
+  CHECK_FALSE(MaySendWithoutBroker(slow_start, strict, kStart));
+  CHECK(MaySendWithoutBroker(slow_start, strict, kStart + kSecond));  // Warm.
 }
 
 wire::ServerRecord Record(int sequence, int cold_for_ms) {
@@ -444,10 +444,10 @@
 TEST_CASE("a server that is cold for longer than it said is taken in if a member proposes it") {
   HostedState state;
   ApplyServer(state, Record(1, 8'000), 5);
-  CHECK(ChangesCold(state, Record(2, 7'900)));
+  CHECK(ChangesColdTime(state, Record(2, 7'900)));
   ApplyServer(state, Record(2, 7'900), 6);
   CHECK(state.m_servers.at("s0").cold_for_ms == 7'900);
-  CHECK_FALSE(ChangesCold(state, Record(1, 8'000)));
+  CHECK_FALSE(ChangesColdTime(state, Record(1, 8'000)));
 }
 
 TEST_CASE("the late word of an earlier life that it is cold changes nothing") {
@@ -458,7 +458,7 @@
   ApplyServer(state, later, 5);
   wire::ServerRecord earlier = Record(9, 8'000);
   earlier.born = 1'000;
-  CHECK_FALSE(ChangesCold(state, earlier));
+  CHECK_FALSE(ChangesColdTime(state, earlier));
   ApplyServer(state, earlier, 6);
   CHECK(state.m_servers.at("s0").address == "10.0.0.2");
   CHECK(state.m_servers_index == 5);
@@ -471,10 +471,11 @@
 TEST_CASE("the document says what a cold server handles") {
   const auto table = platform::DecodeDocument(DocumentWith(R"(,"cold_s":8,"cold_per_s":12)"));
   REQUIRE(table);
-  CHECK(table->m_pools[0].m_cold == ColdLimit{12, 8 * kSecond, 0});
-  CHECK(WithMost(table->m_pools[0].m_cold, {1.5, 5}).m_most_per_s == kMost);
+  CHECK(table->m_pools[0].m_slow_start_limit == SlowStartLimit{12, 8 * kSecond, 0});
+  CHECK(WithTolerance(table->m_pools[0].m_slow_start_limit, {1.5, 5}).m_most_per_s == kMost);
   for (const std::string never : {"", R"(,"cold_s":0,"cold_per_s":12)", R"(,"cold_s":8)"})
-    CHECK(platform::DecodeDocument(DocumentWith(never))->m_pools[0].m_cold == ColdLimit{});
+    CHECK(platform::DecodeDocument(DocumentWith(never))->m_pools[0].m_slow_start_limit ==
+          SlowStartLimit{});
   CHECK_FALSE(platform::DecodeDocument(DocumentWith(R"(,"cold_s":-1,"cold_per_s":12)")));
   CHECK_FALSE(platform::DecodeDocument(DocumentWith(R"(,"cold_s":8,"cold_per_s":-12)")));
 }
--- a/tests/cold_alone_test.cc
+++ b/tests/slow_start_without_broker_test.cc
@@ -35,7 +35,7 @@
   ScriptedServer warm([](const std::string& request) { return Answer(request, "ok"); });
   ScriptedServer cold([](const std::string& request) { return Answer(request, "ok"); });
   Rig rig(ColdDocument());
-  rig.m_forwarder->state().m_settings.m_cold_tolerance = {1, 10'000};  // It may at any time.
+  rig.m_forwarder->state().m_settings.m_slow_start_tolerance = {1, 10'000};  // It may at any time.
   // Were both warm, the one in the instance's own data centre would get all.
   rig.m_forwarder->state().m_settings.m_data_centre = "east";
   rig.Register("s0", warm);
@@ -48,7 +48,7 @@
   ScriptedServer cold([](const std::string& request) { return Answer(request, "ok"); });
   Rig rig(ColdDocument());
   // Half of 10 a second, for one instance: every 200 ms.
-  rig.m_forwarder->state().m_settings.m_cold_tolerance = {1, 10};
+  rig.m_forwarder->state().m_settings.m_slow_start_tolerance = {1, 10};
   RegisterCold(rig, "s0", cold);
   const Instant begun = ReadClock();
   const int served = Served(rig, 8);
--- a/tests/token_quota_test.cc
+++ b/tests/token_quota_test.cc
@@ -48,9 +48,9 @@
   std::int64_t m_told_epoch = 0;
   double m_left = 0;
   Instant m_told{};
-  LoneLimit m_lone;
+  LocalQuotaBucket m_local_quota;
   CostSums m_costs;
-  PlaceRef m_next_ref = 1;
+  SlotRef m_next_ref = 1;
 };
 
 std::string NameOf(int i) {
@@ -63,7 +63,7 @@
   explicit LimitSimulation(const LimitSpec& spec)
       : m_spec(spec),
         m_operators{spec.m_rate, spec.m_rate},
-        m_limit(Loosen(m_operators, {0.1, 140'000})),
+        m_limit(WithTolerance(m_operators, {0.1, 140'000})),
         m_random(spec.m_seed),
         m_spenders(static_cast<std::size_t>(spec.m_instances)) {
     Begin(1, kFirst);
@@ -100,7 +100,7 @@
   inline static const Instant kFirst{Duration(1'000'000)};
 
   void Begin(std::int64_t epoch, Instant now) {
-    m_broker = BeginBroker(epoch, m_spec.m_seed, kMayServe, now);
+    m_broker = MakeSlotBroker(epoch, m_spec.m_seed, kMayServe, now);
     SetServers(m_broker, {{"s0", "pool", "east", 1'000'000, false}});
   }
 
@@ -134,22 +134,22 @@
       spender.m_linked = in_touch;
       const bool beats = (m_step + i * 37) % 500 == 0;
       if (in_touch && beats)
-        m_broker.m_holders[NameOf(i)].m_heard = m_now;
+        m_broker.m_instance_slots[NameOf(i)].m_last_heard = m_now;
     }
-    std::vector<PlaceAnswer> out;
+    std::vector<SlotResponse> out;
     if (m_step % 20 == 0)
       TickBroker(m_broker, m_now, out);
   }
 
   void Link(int i, Spender& spender) {
-    PlaceBatch batch;
+    SlotBatch batch;
     batch.m_resync = true;
     batch.m_instances = m_spec.m_instances;
     batch.m_limits.push_back({"north", m_limit, spender.m_left, m_now - spender.m_told,
-                              spender.m_told_epoch, spender.m_lone.m_spent});
-    spender.m_lone = {};
-    std::vector<PlaceAnswer> out;
-    TakeBatch(m_broker, NameOf(i), std::move(batch), m_now, out);
+                              spender.m_told_epoch, spender.m_local_quota.m_spent});
+    spender.m_local_quota = {};
+    std::vector<SlotResponse> out;
+    ApplyBatch(m_broker, NameOf(i), std::move(batch), m_now, out);
   }
 
   void Request(int i, double cost) {
@@ -163,32 +163,32 @@
   }
 
   bool Granted(int i, Spender& spender, double cost) {
-    PlaceAsk ask;
-    ask.m_ref = spender.m_next_ref++;
-    ask.m_pool = "pool";
-    ask.m_workspace = "north";
-    ask.m_quota.m_cost = cost;
-    ask.m_limit = m_limit;
-    ask.m_shape.m_aim = Duration(300'000);
-    std::vector<PlaceAnswer> out;
-    Ask(m_broker, NameOf(i), std::move(ask), m_now, out);
-    const bool placed = out.front().m_verdict == PlaceVerdict::kPlaced;
-    spender.m_left = out.front().m_left;
+    SlotRequest slot_request;
+    slot_request.m_ref = spender.m_next_ref++;
+    slot_request.m_pool = "pool";
+    slot_request.m_workspace = "north";
+    slot_request.m_quota.m_cost = cost;
+    slot_request.m_limit = m_limit;
+    slot_request.m_shape.m_latency_target = Duration(300'000);
+    std::vector<SlotResponse> out;
+    RequestSlot(m_broker, NameOf(i), std::move(slot_request), m_now, out);
+    const bool placed = out.front().m_verdict == SlotVerdict::kPlaced;
+    spender.m_left = out.front().m_limit_left;
     spender.m_told = m_now;
     spender.m_told_epoch = m_broker.m_epoch;
-    PlaceReport end;
+    SlotReport end;
     end.m_ref = out.front().m_ref;
     end.m_ended = true;
-    std::vector<PlaceAnswer> none;
-    Report(m_broker, NameOf(i), end, m_now, none);
+    std::vector<SlotResponse> none;
+    ApplyReport(m_broker, NameOf(i), end, m_now, none);
     return placed;
   }
 
   bool Alone(Spender& spender, double cost) {
     std::uniform_real_distribution<double> uniform(0, 1);
     const double left = spender.m_told_epoch > 0 ? spender.m_left : m_limit.m_burst;
-    return SpendAlone(
-        spender.m_lone, m_limit, {cost, 0},
+    return ChargeWithoutBroker(
+        spender.m_local_quota, m_limit, {cost, 0},
         {m_spec.m_instances, left, uniform(m_random), OverdrawingCost(spender.m_costs)}, m_now);
   }
 
@@ -206,7 +206,7 @@
   QuotaLimit m_limit;
   std::mt19937_64 m_random;
   std::vector<Spender> m_spenders;
-  PlaceBroker m_broker;
+  SlotBroker m_broker;
   Instant m_now{};
   int m_step = 0;
   LimitRun m_run;
@@ -302,40 +302,40 @@
 TEST_CASE("instances that a new leader has not heard yet still count as sharers") {
   const Instant now{Duration(10'000'000)};
   InstanceCount count = CountInstances({}, 6, kMayServe, now);
-  CHECK(count.m_most == 6);
+  CHECK(count.m_recent_max == 6);
   count = CountInstances(count, 1, kMayServe, now + Duration(1'000'000));
-  CHECK(count.m_most == 6);
+  CHECK(count.m_recent_max == 6);
   count = CountInstances(count, 7, kMayServe, now + Duration(2'000'000));
-  CHECK(count.m_most == 7);
+  CHECK(count.m_recent_max == 7);
   count = CountInstances(count, 2, kMayServe, now + Duration(7'000'000));
-  CHECK(count.m_most == 2);
+  CHECK(count.m_recent_max == 2);
 }
 
 TEST_CASE("of a limit that runs out, less urgent requests leave the rest to more urgent ones") {
   const QuotaLimit limit{1'000, 1'000};
   const Instant now{Duration(10'000'000)};
-  SharedLimit shared = BeginLimit(limit, now);  // A fifth of the burst.
-  CHECK_FALSE(Spend(shared, limit, {10, 0.2}, now));
-  CHECK(Spend(shared, limit, {110, 0.1}, now));
-  CHECK_FALSE(Spend(shared, limit, {10, 0.1}, now));
-  CHECK(Spend(shared, limit, {10, 0}, now));
-  LoneLimit lone;
-  CHECK(SpendAlone(lone, limit, {700, 0}, {1, 1'000, 0}, now));
-  CHECK_FALSE(SpendAlone(lone, limit, {10, 0.4}, {1, 1'000, 0}, now));
-  CHECK(SpendAlone(lone, limit, {10, 0.2}, {1, 1'000, 0}, now));
+  QuotaBucket bucket = BeginLimit(limit, now);  // A fifth of the burst.
+  CHECK_FALSE(Spend(bucket, limit, {10, 0.2}, now));
+  CHECK(Spend(bucket, limit, {110, 0.1}, now));
+  CHECK_FALSE(Spend(bucket, limit, {10, 0.1}, now));
+  CHECK(Spend(bucket, limit, {10, 0}, now));
+  LocalQuotaBucket local_quota;
+  CHECK(ChargeWithoutBroker(local_quota, limit, {700, 0}, {1, 1'000, 0}, now));
+  CHECK_FALSE(ChargeWithoutBroker(local_quota, limit, {10, 0.4}, {1, 1'000, 0}, now));
+  CHECK(ChargeWithoutBroker(local_quota, limit, {10, 0.2}, {1, 1'000, 0}, now));
 }
 
 TEST_CASE("a request may overdraw a limit once, and what never ran is given back") {
   const QuotaLimit limit{1'000, 1'000};
   const Instant now{Duration(10'000'000)};
-  SharedLimit shared = BeginLimit(limit, now);
-  CHECK(Spend(shared, limit, {500, 0}, now));
-  CHECK_FALSE(Spend(shared, limit, {1, 0}, now));
-  Refund(shared, 500);
-  CHECK(Spend(shared, limit, {1, 0}, now));
-  CHECK(shared.m_spent == Approx(1));
-  Charge(shared, 99);
-  CHECK(shared.m_tokens == Approx(100));
+  QuotaBucket bucket = BeginLimit(limit, now);
+  CHECK(Spend(bucket, limit, {500, 0}, now));
+  CHECK_FALSE(Spend(bucket, limit, {1, 0}, now));
+  Refund(bucket, 500);
+  CHECK(Spend(bucket, limit, {1, 0}, now));
+  CHECK(bucket.m_spent == Approx(1));
+  Charge(bucket, 99);
+  CHECK(bucket.m_tokens == Approx(100));
 }
 
 TEST_CASE("without a broker all instances together spend what one bucket would give") {
@@ -347,8 +347,9 @@
   const Instant now{Duration(10'000'000)};
   double spent = 0;
   for (int i = 0; i < kInstances; ++i) {
-    LoneLimit lone;
-    if (SpendAlone(lone, limit, {7'000, 0}, {kInstances, 200'000, uniform(random)}, now))
+    LocalQuotaBucket local_quota;
+    if (ChargeWithoutBroker(local_quota, limit, {7'000, 0}, {kInstances, 200'000, uniform(random)},
+                            now))
       spent += 7'000;
   }
   CHECK(spent == Approx(200'000).epsilon(0.35));
