--- a/tests/withheld_limit_test.cc
+++ b/tests/withheld_limit_test.cc
@@ -16,56 +16,56 @@
 const Instant kStart{100 * kSecond};
 
 /// One of three hundred requests a second, more than the limit allows.
-double AskAndEnd(PlaceBroker& broker, const std::string& holder, PlaceRef ref, Instant now) {
-  PlaceAsk ask;
-  ask.m_ref = ref;
-  ask.m_pool = "engines";
-  ask.m_workspace = "north";
-  ask.m_shape.m_aim = kSecond;
-  ask.m_shape.m_left = 10 * kSecond;
-  ask.m_quota.m_cost = kCost;
-  ask.m_limit = {kRate, kRate};
-  std::vector<PlaceAnswer> out;
-  Ask(broker, holder, ask, now, out);
-  if (out.empty() || out[0].m_verdict != PlaceVerdict::kPlaced)
+double AskAndEnd(SlotBroker& broker, const std::string& instance, SlotRef ref, Instant now) {
+  SlotRequest slot_request;
+  slot_request.m_ref = ref;
+  slot_request.m_pool = "engines";
+  slot_request.m_workspace = "north";
+  slot_request.m_shape.m_latency_target = kSecond;
+  slot_request.m_shape.m_left = 10 * kSecond;
+  slot_request.m_quota.m_cost = kCost;
+  slot_request.m_limit = {kRate, kRate};
+  std::vector<SlotResponse> out;
+  RequestSlot(broker, instance, slot_request, now, out);
+  if (out.empty() || out[0].m_verdict != SlotVerdict::kPlaced)
     return 0;
-  PlaceReport end;
+  SlotReport end;
   end.m_ref = ref;
   end.m_ended = true;
-  Report(broker, holder, end, now, out);
+  ApplyReport(broker, instance, end, now, out);
   return kCost;
 }
 
 struct Cut {
-  PlaceBroker m_broker;
+  SlotBroker m_broker;
   double m_spent = 0;
-  PlaceRef m_next = 1;
+  SlotRef m_next = 1;
 
-  Cut() : m_broker(BeginBroker(1, 7, kMayServe, kStart - 10 * kSecond)) {
-    PlaceServer server;
+  Cut() : m_broker(MakeSlotBroker(1, 7, kMayServe, kStart - 10 * kSecond)) {
+    BackendServer server;
     server.m_id = "s0";
     server.m_pool = "engines";
     server.m_slots = 64;
     SetServers(m_broker, {server});
-    for (const std::string holder : {"a", "b", "c", "d"})
-      Resync(m_broker, holder, 4, kStart);
+    for (const std::string instance : {"a", "b", "c", "d"})
+      Resync(m_broker, instance, 4, kStart);
   }
   /// `heard` of the four instances ask, others are silent.
   void Play(Duration from, Duration until, int heard) {
     for (Instant now = kStart + from; now < kStart + until; now += Duration(3'333)) {
-      std::vector<PlaceAnswer> out;
+      std::vector<SlotResponse> out;
       TickBroker(m_broker, now, out);
-      const std::string holder(1, static_cast<char>('a' + m_next % heard));
-      m_spent += AskAndEnd(m_broker, holder, m_next++, now);
+      const std::string instance(1, static_cast<char>('a' + m_next % heard));
+      m_spent += AskAndEnd(m_broker, instance, m_next++, now);
     }
   }
   void Return(double spent_alone, Duration at) {
     Resync(m_broker, "d", 4, kStart + at);
-    LimitReport word;
-    word.m_workspace = "north";
-    word.m_limit = {kRate, kRate};
-    word.m_spent_alone = spent_alone;
-    HearLimit(m_broker, word, kStart + at);
+    LimitReport report;
+    report.m_workspace = "north";
+    report.m_limit = {kRate, kRate};
+    report.m_charged_without_broker = spent_alone;
+    HearLimit(m_broker, report, kStart + at);
     m_spent += spent_alone;
   }
 };
@@ -95,14 +95,14 @@
 }
 
 TEST_CASE("what is spent alone beyond the withheld part is charged as before") {
-  SharedLimit shared;
-  shared.m_tokens = 100;
-  shared.m_filled = kStart;
+  QuotaBucket bucket;
+  bucket.m_tokens = 100;
+  bucket.m_filled = kStart;
   const QuotaLimit limit{kRate, kRate};
-  Withhold(shared, limit, 0.75, kMayServe, kStart + 100 * kMs);
-  ChargeLate(shared, limit, 35);
-  CHECK(shared.m_withheld == Approx(0));
-  CHECK(shared.m_tokens == Approx(90));
+  Withhold(bucket, limit, 0.75, kMayServe, kStart + 100 * kMs);
+  ChargeLate(bucket, limit, 35);
+  CHECK(bucket.m_withheld == Approx(0));
+  CHECK(bucket.m_tokens == Approx(90));
 }
 
 }  // namespace
