--- a/apps/poppyway/command.cc
+++ b/apps/poppyway/command.cc
@@ -49,7 +49,7 @@
 
 int Report(const Error& error) {
   std::cerr << "poppyway: " << error.m_message << " (" << static_cast<int>(error.m_code) << " "
-            << Describe(error.m_code).m_name << ")\n";
+            << ResultInfoOf(error.m_code).m_name << ")\n";
   if (error.m_code == ResultCode::kPeerUnreachable) {
     std::cerr << "  is the instance running, and is this its peer endpoint? "
                  "--instance takes several.\n";
--- a/apps/poppyway/load.cc
+++ b/apps/poppyway/load.cc
@@ -56,7 +56,7 @@
             << std::setw(11) << Millis(result.m_first_token.Quantile(0.5)) << std::setw(10)
             << Millis(result.m_first_token.Quantile(0.95));
   for (const auto& [code, count] : result.m_refused)
-    std::cout << "  " << Describe(static_cast<ResultCode>(code)).m_name << "=" << count;
+    std::cout << "  " << ResultInfoOf(static_cast<ResultCode>(code)).m_name << "=" << count;
   std::cout << "\n";
 }
 
@@ -96,7 +96,7 @@
     return Report(plan.error());
   settings.m_balancer_lag = std::chrono::milliseconds(lag_ms);
   std::signal(SIGPIPE, SIG_IGN);
-  TaskLoop loop;
+  EventLoop loop;
   LoadRunner runner(loop, *plan, settings);
   runner.Run();
   json rows = json::array();
--- a/apps/poppyway/load_runner.cc
+++ b/apps/poppyway/load_runner.cc
@@ -65,7 +65,7 @@
   std::string m_body;
 };
 
-LoadRunner::LoadRunner(TaskLoop& loop, LoadPlan plan, LoadSettings settings)
+LoadRunner::LoadRunner(EventLoop& loop, LoadPlan plan, LoadSettings settings)
     : m_loop(loop), m_plan(std::move(plan)), m_settings(std::move(settings)), m_pools(loop) {
   m_requests = Plan(m_plan, m_settings.m_seed);
   m_results.resize(m_plan.m_classes.size());
@@ -157,7 +157,7 @@
       call.m_first = ReadClock();
     call.m_body += bytes;
   };
-  events.m_on_whole = [this, &call] { Finish(call, ""); };
+  events.m_on_complete = [this, &call] { Finish(call, ""); };
   events.m_on_failure = [this, &call](bool, const std::string& why) { Finish(call, why); };
   call.m_upstream = std::make_unique<Upstream>(m_pools, target, head + call.m_sent_body, false,
                                                std::move(events));
@@ -208,7 +208,7 @@
   const int number = code.empty() ? call.m_status : std::atoi(code.c_str());
   ++result.m_refused[number];
   result.m_refusal.Record(took);
-  const ResultInfo& info = Describe(static_cast<ResultCode>(number));
+  const ResultInfo& info = ResultInfoOf(static_cast<ResultCode>(number));
   const bool says_when = !info.m_retry_after || !HeaderValue(call.m_headers, "retry-after").empty();
   const bool complete =
       !code.empty() && !HeaderValue(call.m_headers, "poppyway-run").empty() && says_when;
@@ -250,7 +250,7 @@
     events.m_may_send = [] { return true; };
     events.m_on_head = [saw](const UpstreamHead& head) { saw(head.m_status == 200); };
     events.m_on_data = [](std::string_view) {};
-    events.m_on_whole = [] {};
+    events.m_on_complete = [] {};
     events.m_on_failure = [saw](bool, const std::string&) { saw(false); };
     if (target.m_probe) {
       target.m_probe->Silence();
--- a/apps/poppyway/load_runner.h
+++ b/apps/poppyway/load_runner.h
@@ -41,7 +41,7 @@
 /// \brief Runs a load in real time against instances, as the platform's balancer would spread it.
 class LoadRunner {
  public:
-  LoadRunner(TaskLoop& loop, LoadPlan plan, LoadSettings settings);
+  LoadRunner(EventLoop& loop, LoadPlan plan, LoadSettings settings);
   ~LoadRunner();
   /// Runs to the end; blocks.
   void Run();
@@ -69,7 +69,7 @@
   void ProbeTargets(Instant now);
   [[nodiscard]] std::size_t PickTarget();
 
-  TaskLoop& m_loop;
+  EventLoop& m_loop;
   LoadPlan m_plan;
   LoadSettings m_settings;
   std::vector<PlannedRequest> m_requests;
--- a/apps/poppywayd/control_server.cc
+++ b/apps/poppywayd/control_server.cc
@@ -30,13 +30,13 @@
   return pending;
 }
 
-void Answer(const PendingRequest& pending, const platform::ControlAnswer& answer) {
+void Answer(const PendingRequest& pending, const platform::ControlResponse& answer) {
   if (pending.m_req != nullptr)
     ReplyWhole(pending.m_req, answer.m_status, "application/json", answer.m_body);
 }
 
-void LogCall(const platform::ControlCall& call, int status, Instant begun) {
-  using Kind = platform::ControlCall::Kind;
+void LogCall(const platform::ControlRequest& call, int status, Instant begun) {
+  using Kind = platform::ControlRequest::Kind;
   const Duration took = ReadClock() - begun;
   if (call.m_kind == Kind::kPutDocument) {
     POPPYWAY_LOG(info, "document_call")
@@ -62,7 +62,7 @@
         .Field("took_ms", took.count() / 1000);
     return;
   }
-  const bool beat = call.m_kind == Kind::kServerSeen &&
+  const bool beat = call.m_kind == Kind::kServerHeartbeat &&
                     call.m_server.stage == wire::ServerStage::READY && status == 200;
   const bool read = call.m_kind == Kind::kReadDocument || call.m_kind == Kind::kReadRollout;
   if (beat || read)
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-ControlServer::ControlServer(TaskLoop& loop, const Endpoint& place, MemberSide& member)
+ControlServer::ControlServer(EventLoop& loop, const Endpoint& place, MemberSide& member)
     : m_place(place),
       m_member(member),
       m_server(loop, HttpLimits{kMaxDocumentBytes, kIdleMillis}, [this](h2o_req_t* req) {
@@ -97,22 +97,22 @@
 
 void ControlServer::AddMetrics(MetricSet& metrics) const {
   for (std::size_t i = 0; i < m_refused.size(); ++i) {
-    const auto fault = static_cast<platform::HeartbeatFault>(i);
-    const std::string label = "reason=\"" + std::string(platform::HeartbeatFaultName(fault)) + "\"";
+    const auto fault = static_cast<platform::HeartbeatError>(i);
+    const std::string label = "reason=\"" + std::string(platform::HeartbeatErrorName(fault)) + "\"";
     metrics.Set("poppyway_heartbeats_refused_total", label, static_cast<double>(m_refused[i]));
   }
 }
 
 void ControlServer::OnRequest(h2o_req_t* req) {
-  using Kind = platform::ControlCall::Kind;
+  using Kind = platform::ControlRequest::Kind;
   const Instant begun = ReadClock();
   const std::string_view method(req->method.base, req->method.len);
   const std::string_view target(req->path.base, req->path.len);
   const std::string_view body(req->entity.base, req->entity.len);
-  Result<platform::ControlCall> call = platform::DecodeControlCall(method, target, body);
+  Result<platform::ControlRequest> call = platform::DecodeControlRequest(method, target, body);
   if (!call) {
-    const platform::ControlAnswer answer = platform::EncodeControlError(call.error());
-    const auto fault = platform::HeartbeatFaultOf(method, target, body);
+    const platform::ControlResponse answer = platform::EncodeControlError(call.error());
+    const auto fault = platform::FindHeartbeatError(method, target, body);
     if (fault)
       ++m_refused[static_cast<std::size_t>(*fault)];
     if (!fault || MayLogRefused(begun))
@@ -124,7 +124,7 @@
   }
   const std::shared_ptr<PendingRequest> pending = Track(req);
   const ReplyFn reply = [pending, call = *call, begun](wire::Body outcome) {
-    const platform::ControlAnswer answer = platform::EncodeControlAnswer(call, outcome);
+    const platform::ControlResponse answer = platform::EncodeControlResponse(call, outcome);
     LogCall(call, answer.m_status, begun);
     Answer(*pending, answer);
   };
@@ -135,8 +135,8 @@
     case Kind::kReadDocument:
       m_member.ReadDocument(reply);
       return;
-    case Kind::kServerSeen:
-    case Kind::kServerGone:
+    case Kind::kServerHeartbeat:
+    case Kind::kDeregisterServer:
       m_member.SubmitServer(call->m_server, reply);
       return;
     case Kind::kOrderRollout:
@@ -149,7 +149,7 @@
       m_member.SubmitEvacuation(call->m_evacuation, reply);
       return;
     case Kind::kUnknown:
-      Answer(*pending, platform::EncodeControlAnswer(*call, {}));
+      Answer(*pending, platform::EncodeControlResponse(*call, {}));
       return;
   }
 }
--- a/apps/poppywayd/control_server.h
+++ b/apps/poppywayd/control_server.h
@@ -15,7 +15,7 @@
 /// control task; the platform adapter translates the calls.
 class ControlServer {
  public:
-  ControlServer(TaskLoop& loop, const Endpoint& place, MemberSide& member);
+  ControlServer(EventLoop& loop, const Endpoint& place, MemberSide& member);
 
   [[nodiscard]] Result<void> Listen();
   void AddMetrics(MetricSet& metrics) const;
@@ -28,7 +28,7 @@
   Endpoint m_place;
   MemberSide& m_member;
   HttpServer m_server;
-  std::array<std::uint64_t, platform::kHeartbeatFaults> m_refused{};  ///< By fault.
+  std::array<std::uint64_t, platform::kHeartbeatErrorCount> m_refused{};  ///< By fault.
   Instant m_lines_since{};
   int m_lines = 0;
 };
--- a/apps/poppywayd/control_task.cc
+++ b/apps/poppywayd/control_task.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-ControlTask::ControlTask(TaskLoop& loop,
+ControlTask::ControlTask(EventLoop& loop,
                          const DaemonSettings& settings,
                          const std::string& incarnation,
                          std::function<void(ControlMessage)> to_gateway)
@@ -40,7 +40,8 @@
             ++m_bad_messages;
             POPPYWAY_LOG(warning, "peer_message_refused").Field("why", why.m_message);
           }),
-      m_inbox(loop, [this](GatewayMessage message) { m_instance.Take(std::move(message)); }),
+      m_inbox(loop,
+              [this](GatewayMessage message) { m_instance.HandleMessage(std::move(message)); }),
       m_tick(loop, kBusyTickMillis, kIdleTickMillis, [this] { return Tick(); }),
       m_metrics_timer(loop, kMetricsMillis, [this] { PublishMetrics(); }) {}
 
@@ -85,9 +86,9 @@
     POPPYWAY_LOG(info, "stopping")
         .Field("leads", m_member && m_member->leads())
         .Field("follows", m_member && m_member->Follows(now));
-    m_instance.BeginStop();
+    m_instance.BeginShutdown();
   }
-  if (m_stopping && m_instance.Stopped()) {
+  if (m_stopping && m_instance.ShutdownComplete()) {
     POPPYWAY_LOG(info, "stopped");
     m_loop.Stop();
   }
@@ -96,14 +97,15 @@
   return m_member || m_stopping || m_brokers.Busy() || m_instance.Busy();
 }
 
-SendQueue ControlTask::Queue() const {
-  const SendQueue peers = Join(m_server.queue(), m_instance.queue());
-  return m_member ? Join(peers, m_member->queue()) : peers;
+SendQueueStats ControlTask::Queue() const {
+  const SendQueueStats peers = CombineQueueStats(m_server.queue_stats(), m_instance.queue_stats());
+  return m_member ? CombineQueueStats(peers, m_member->queue_stats()) : peers;
 }
 
 void ControlTask::LogQueue() const {
-  const SendQueue queue = Queue();
-  const Duration waited = queue.m_since == Instant{} ? Duration(0) : ReadClock() - queue.m_since;
+  const SendQueueStats queue = Queue();
+  const Duration waited =
+      queue.m_nonempty_since == Instant{} ? Duration(0) : ReadClock() - queue.m_nonempty_since;
   if (waited > kLongQueue)
     POPPYWAY_LOG(info, "peer_queue")
         .Field("bytes", queue.m_bytes)
--- a/apps/poppywayd/control_task.h
+++ b/apps/poppywayd/control_task.h
@@ -17,7 +17,7 @@
 /// \brief The control task of a daemon: peers, log member, brokers, instance duties. One thread.
 class ControlTask {
  public:
-  ControlTask(TaskLoop& loop,
+  ControlTask(EventLoop& loop,
               const DaemonSettings& settings,
               const std::string& incarnation,
               std::function<void(ControlMessage)> to_gateway);
@@ -49,11 +49,11 @@
   /// Writes a line if the loop did nothing else for long since its last tick.
   void LogStall(Instant now);
   /// What waits to be written to peers.
-  [[nodiscard]] SendQueue Queue() const;
+  [[nodiscard]] SendQueueStats Queue() const;
   /// At most one line a call, where something has waited for long.
   void LogQueue() const;
 
-  TaskLoop& m_loop;
+  EventLoop& m_loop;
   DaemonSettings m_settings;
   std::function<void(ControlMessage)> m_to_gateway;
   BrokerSide m_brokers;
--- a/apps/poppywayd/hosted.cc
+++ b/apps/poppywayd/hosted.cc
@@ -62,15 +62,16 @@
   settings.m_data_centre = hosted.m_data_centre;
   settings.m_region = RegionOf(hosted.m_regions, hosted.m_data_centre);
   settings.m_regions = hosted.m_regions;
-  settings.m_http = hosted.m_callers;
+  settings.m_http = hosted.m_caller_endpoint;
   settings.m_peer = {hosted.m_address, hosted.m_first_internal_port};
   settings.m_members = SeedMembers(hosted);
   settings.m_data_folder = hosted.m_data_folder;
   settings.m_member = !hosted.m_data_folder.empty();
-  settings.m_may_form = hosted.m_first_start;
+  settings.m_may_form = hosted.m_bootstrap;
   settings.m_heartbeat_ms = kHeartbeatMs;
   settings.m_lease_ms = kLeaseMs;
-  const Duration bound = hosted.m_key_bound > Duration(0) ? hosted.m_key_bound : kUnbounded;
+  const Duration bound =
+      hosted.m_key_revocation_limit > Duration(0) ? hosted.m_key_revocation_limit : kUnbounded;
   settings.m_exposure_share = hosted.m_exposure.m_share;
   settings.m_exposure_slack = hosted.m_exposure.m_slack;
   settings.m_confirm_ms =
@@ -89,21 +90,22 @@
   settings.m_data_centre = hosted.m_data_centre;
   settings.m_regions = hosted.m_regions;
   settings.m_slow_start_tolerance = hosted.m_slow_start_tolerance;
-  settings.m_callers = hosted.m_callers;
-  settings.m_readiness = hosted.m_readiness;
-  settings.m_metrics = MetricsPlace(hosted);
-  settings.m_stop_limit = hosted.m_stop_limit;
+  settings.m_caller_endpoint = hosted.m_caller_endpoint;
+  settings.m_readiness_endpoint = hosted.m_readiness_endpoint;
+  settings.m_metrics_endpoint = MetricsPlace(hosted);
+  settings.m_shutdown_timeout = hosted.m_shutdown_timeout;
   settings.m_retry_limit = hosted.m_retry_limit;
   settings.m_retry_limit.m_ratio *= kRetryPart;
   settings.m_retry_limit.m_burst *= kRetryPart;
   settings.m_quota_tolerance = hosted.m_quota_tolerance;
-  settings.m_unconfirmed_limit = hosted.m_key_bound > Duration(0) ? hosted.m_key_bound : kUnbounded;
+  settings.m_max_config_staleness =
+      hosted.m_key_revocation_limit > Duration(0) ? hosted.m_key_revocation_limit : kUnbounded;
   return settings;
 }
 
 /// Reads the limits of cold servers out of the operator's document.
 MemberSide::ColdLimitReader ColdReaderOf(const SlowStartTolerance& tolerance) {
-  return [tolerance, decode = platform::MakeDialect().m_decode_document](
+  return [tolerance, decode = platform::MakeProtocolAdapter().m_decode_document](
              const wire::Document& document) -> Result<std::map<std::string, SlowStartLimit>> {
     const Result<RouteTable> table = decode(document.version, document.body);
     if (!table)
@@ -125,19 +127,20 @@
         m_settings(ToDaemonSettings(hosted)),
         m_control(m_loop, m_settings, MakeIncarnation(hosted.m_instance), [](ControlMessage) {}),
         m_signals(m_loop, kSignalMillis, [this] { CheckSignals(); }) {
-    if (hosted.m_callers.m_port != 0)
-      m_forwarder =
-          std::make_unique<Forwarder>(m_loop, ToForwarderSettings(hosted), platform::MakeDialect());
+    if (hosted.m_caller_endpoint.m_port != 0)
+      m_forwarder = std::make_unique<Forwarder>(m_loop, ToForwarderSettings(hosted),
+                                                platform::MakeProtocolAdapter());
     if (m_forwarder) {
       m_control.SetForwarder(
-          {[this](FleetMessage message) { m_forwarder->Take(std::move(message)); }});
-      m_forwarder->SetBroker(m_control.MakeSlotBrokerPort());
-      m_forwarder->SetMoreMetrics([this](MetricSet& metrics) { m_control.AddMetrics(metrics); });
+          {[this](ForwarderMessage message) { m_forwarder->HandleMessage(std::move(message)); }});
+      m_forwarder->SetBrokerPort(m_control.MakeSlotBrokerPort());
+      m_forwarder->SetExtraMetrics([this](MetricSet& metrics) { m_control.AddMetrics(metrics); });
     }
     if (m_control.member() != nullptr)
       m_control.member()->SetColdLimitReader(ColdReaderOf(hosted.m_slow_start_tolerance));
-    if (hosted.m_control.m_port != 0 && m_control.member() != nullptr)
-      m_server = std::make_unique<ControlServer>(m_loop, hosted.m_control, *m_control.member());
+    if (hosted.m_control_endpoint.m_port != 0 && m_control.member() != nullptr)
+      m_server =
+          std::make_unique<ControlServer>(m_loop, hosted.m_control_endpoint, *m_control.member());
     if (!m_forwarder) {
       // A gateway's forwarder serves its own.
       m_metrics = std::make_unique<HttpServer>(m_loop, HttpLimits{},
@@ -192,33 +195,34 @@
 
   void Stop() {
     const Instant now = ReadClock();
-    if (m_stop_begun == Instant{}) {
-      m_stop_begun = now;
+    if (m_shutdown_started == Instant{}) {
+      m_shutdown_started = now;
       if (m_forwarder)
-        m_forwarder->BeginStop();
+        m_forwarder->BeginShutdown();
     }
-    const bool over = m_forwarder ? m_forwarder->Stopped() : now - m_stop_begun >= kMemberStopTime;
+    const bool over =
+        m_forwarder ? m_forwarder->ShutdownComplete() : now - m_shutdown_started >= kMemberStopTime;
     if (!over)
       return;
-    POPPYWAY_LOG(info, "stopped").Field("took_ms", (now - m_stop_begun).count() / 1000);
+    POPPYWAY_LOG(info, "stopped").Field("took_ms", (now - m_shutdown_started).count() / 1000);
     m_loop.Stop();
   }
 
   std::string m_path;
   DaemonSettings m_settings;
-  TaskLoop m_loop;
+  EventLoop m_loop;
   ControlTask m_control;
   std::unique_ptr<Forwarder> m_forwarder;
   std::unique_ptr<ControlServer> m_server;
   std::unique_ptr<HttpServer> m_metrics;
   Endpoint m_metrics_place;
   RepeatingTimer m_signals;
-  Instant m_stop_begun{};
+  Instant m_shutdown_started{};
 };
 
 int Fail(const Error& error) {
   POPPYWAY_LOG(fatal, "start_failed")
-      .Field("code", Describe(error.m_code).m_name)
+      .Field("code", ResultInfoOf(error.m_code).m_name)
       .Field("why", error.m_message);
   return kStartFailedExit;
 }
@@ -244,7 +248,7 @@
     return Fail(started.error());
   POPPYWAY_LOG(info, "started")
       .Field("data_centre", hosted->m_data_centre)
-      .Field("first_start", hosted->m_first_start)
+      .Field("first_start", hosted->m_bootstrap)
       .Field("seeds", hosted->m_seeds.size());
   daemon.Run();
   return EXIT_SUCCESS;
--- a/apps/poppywayd/instance_hosted.cc
+++ b/apps/poppywayd/instance_hosted.cc
@@ -16,13 +16,13 @@
   m_leader_servers = std::max(m_leader_servers, reply.servers_index);
   m_leader_asked = std::max(m_leader_asked, sent);
   PublishConfirmation();
-  m_forwarder.m_send(FleetSize{std::max(1, reply.live)});
+  m_forwarder.m_send(LiveInstanceCount{std::max(1, reply.live)});
   const bool new_broker = !m_broker_told || reply.leader_term > m_leader_term;
   m_leader_term = std::max(m_leader_term, reply.leader_term);
-  m_news->SetLeaderTerm(m_leader_term);
+  m_poller->SetLeaderTerm(m_leader_term);
   if (new_broker && reply.leader_term == m_leader_term) {
     m_broker_told = true;
-    m_forwarder.m_send(BrokerFound{reply.leader_term});
+    m_forwarder.m_send(BrokerConnected{reply.leader_term});
   }
 }
 
@@ -34,14 +34,14 @@
 }
 
 std::size_t InstanceSide::NearestSource(Instant now) const {
-  const ReaderPlace here{m_settings.m_data_centre, m_settings.m_region};
-  return ChooseNewsSource(m_sources, m_settings.m_regions, here, Hash(m_incarnation), now);
+  const PollerLocation here{m_settings.m_data_centre, m_settings.m_region};
+  return ChoosePollSource(m_sources, m_settings.m_regions, here, Hash(m_incarnation), now);
 }
 
 void InstanceSide::PublishConfirmation() {
   // A member's news may come before any leader has answered; only a leader confirms.
   const bool asked = m_leader_asked != Instant{};
-  const std::int64_t version = m_news->document_version();
+  const std::int64_t version = m_poller->document_version();
   if (!asked || version == 0 || version < m_leader_document)
     return;
   const Instant until = m_leader_asked + std::chrono::milliseconds(m_settings.m_confirm_ms);
@@ -51,14 +51,16 @@
   m_forwarder.m_send(ConfirmedUntil{until});
 }
 
-NewsPort InstanceSide::MakeNewsPort() {
-  NewsPort port;
-  port.m_ask = [this](std::size_t member, wire::Body body, Duration timeout,
-                      PeerClient::OnReply on_reply) {
+PollerCallbacks InstanceSide::MakePollerCallbacks() {
+  PollerCallbacks port;
+  port.m_call_member = [this](std::size_t member, wire::Body body, Duration timeout,
+                              PeerClient::OnReply on_reply) {
     m_members[member]->Call(std::move(body), timeout, std::move(on_reply));
   };
-  port.m_last_read = [this](std::size_t member) { return m_members[member]->last_read(); };
-  port.m_nearest = [this](Instant now) { return NearestSource(now); };
+  port.m_last_receive_time = [this](std::size_t member) {
+    return m_members[member]->last_receive_time();
+  };
+  port.m_choose_member = [this](Instant now) { return NearestSource(now); };
   port.m_avoid = [this](std::size_t member, Instant now) { AvoidSource(member, now); };
   port.m_leader = [this] { return m_leader; };
   port.m_on_leader = [this](const wire::ConfigDelta& delta) { OnLeaderNamed(delta); };
@@ -78,7 +80,7 @@
   if (delta.leader_term <= m_leader_term)
     return;
   m_leader_term = delta.leader_term;
-  m_news->SetLeaderTerm(m_leader_term);
+  m_poller->SetLeaderTerm(m_leader_term);
   m_leader = ContactAt({delta.leader_address, static_cast<std::uint16_t>(delta.leader_port)});
   POPPYWAY_LOG(info, "leader_named").Field("term", m_leader_term).Field("port", delta.leader_port);
   FindBrokerAnew();
@@ -91,7 +93,7 @@
     FindBrokerAnew();
     return;
   }
-  PlacesAnswered message;
+  SlotResponses message;
   message.m_epoch = body.place_answers.epoch;
   for (const wire::PlaceAnswer& answer : body.place_answers.answers)
     message.m_answers.push_back(FromWire(answer));
@@ -107,7 +109,7 @@
 
 void InstanceSide::FindBrokerAnew() {
   if (m_broker_told)
-    m_forwarder.m_send(BrokerLost{});
+    m_forwarder.m_send(BrokerDisconnected{});
   m_broker_told = false;
   m_beat_due = std::min(m_beat_due, ReadClock());
 }
@@ -117,9 +119,9 @@
   port.m_send = [this](SlotBatch batch) {
     wire::Body body;
     body.__set_place_batch(ToWire(batch, m_incarnation, m_settings.m_data_centre));
-    Leader().Tell(std::move(body));
+    Leader().Notify(std::move(body));
   };
-  port.m_silent = [this] { FindBrokerAnew(); };
+  port.m_on_unresponsive = [this] { FindBrokerAnew(); };
   return port;
 }
 
--- a/apps/poppywayd/instance_side.cc
+++ b/apps/poppywayd/instance_side.cc
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-InstanceSide::InstanceSide(TaskLoop& loop,
+InstanceSide::InstanceSide(EventLoop& loop,
                            const DaemonSettings& settings,
                            std::string incarnation,
                            BrokerSide& brokers,
@@ -59,7 +59,7 @@
   // Readers spread over the members.
   m_poll_member = Hash(m_incarnation) % m_members.size();
   if (m_settings.m_hosted)
-    m_news = std::make_unique<HostedNews>(MakeNewsPort());
+    m_poller = std::make_unique<HostedStatePoller>(MakePollerCallbacks());
 }
 
 std::size_t InstanceSide::ContactAt(const Endpoint& place) {
@@ -100,8 +100,8 @@
     POPPYWAY_LOG(info, "freshness").Field("fresh", fresh).Field("version", m_version);
     m_to_gateway(SetFresh{fresh});
   }
-  if (m_news)
-    m_news->Tick(m_leader_document, m_leader_servers, now);
+  if (m_poller)
+    m_poller->Tick(m_leader_document, m_leader_servers, now);
   else if (!m_polling && now >= m_poll_after)
     Poll();
   ExpireCommands(now);
@@ -122,8 +122,8 @@
   beat.http = ToText(m_settings.m_http);
   beat.leases_seen = m_leases_seen;
   beat.members_seen = m_members_digest;
-  if (m_news)
-    beat.version_in_force = m_news->document_version();
+  if (m_poller)
+    beat.version_in_force = m_poller->document_version();
   wire::Body body;
   body.__set_heartbeat(beat);
   Leader().Call(std::move(body), std::chrono::milliseconds(m_settings.m_lease_ms) / 3,
@@ -132,7 +132,7 @@
                     return;  // Another leader has been found since.
                   if (reply && reply->__isset.heartbeat_reply)
                     OnBeatReply(reply->heartbeat_reply, now);
-                  else if (!reply && Leader().last_heard() > now)
+                  else if (!reply && Leader().last_message_time() > now)
                     m_beat_due = ReadClock();  // It has sent something since: a late answer only.
                   else
                     OnLeaderError(reply);
@@ -157,7 +157,7 @@
 void InstanceSide::OnLeaderError(const Result<wire::Body>& reply) {
   ++m_beats_lost;
   if (m_broker_told && m_forwarder.m_send)
-    m_forwarder.m_send(BrokerLost{});
+    m_forwarder.m_send(BrokerDisconnected{});
   m_broker_told = false;
   const bool named = reply && reply->__isset.error && reply->error.leader_port != 0;
   std::size_t next = (m_leader + 1) % m_members.size();
@@ -245,7 +245,7 @@
   m_poll_after = now + std::min<Duration>(kAdoptionRest * (now - begun).count(), kMaxAdoptionRest);
 }
 
-void InstanceSide::Take(GatewayMessage message) {
+void InstanceSide::HandleMessage(GatewayMessage message) {
   const Instant now = ReadClock();
   if (auto* claim = std::get_if<ClaimKey>(&message)) {
     ++m_claims;
@@ -372,7 +372,7 @@
     line.m_sent.erase(line.m_sent.begin());
   wire::Body body;
   body.__set_demand(ToWire(message.m_pool, message.m_demand, line.m_lease.epoch, sequence, now));
-  line.m_client->Tell(std::move(body));
+  line.m_client->Notify(std::move(body));
 }
 
 void InstanceSide::OnGrants(const wire::Grants& grants) {
@@ -396,16 +396,16 @@
   m_to_gateway(std::move(message));
 }
 
-void InstanceSide::BeginStop() {
+void InstanceSide::BeginShutdown() {
   if (m_stopping)
     return;
   m_stopping = true;
   m_brokers.DropAll();  // Before the leader may give the leases to another.
   Beat(ReadClock());
-  m_to_gateway(ControlMessage(poppyway::BeginStop{}));
+  m_to_gateway(ControlMessage(poppyway::BeginShutdown{}));
 }
 
-bool InstanceSide::Stopped() const {
+bool InstanceSide::ShutdownComplete() const {
   return m_drained && m_commands.empty() && m_proposals_out == 0;
 }
 
@@ -433,10 +433,10 @@
   return bytes;
 }
 
-SendQueue InstanceSide::queue() const {
-  SendQueue all;
+SendQueueStats InstanceSide::queue_stats() const {
+  SendQueueStats all;
   for (const auto& member : m_members)
-    all = Join(all, member->queue());
+    all = CombineQueueStats(all, member->queue_stats());
   return all;
 }
 
--- a/apps/poppywayd/instance_side.h
+++ b/apps/poppywayd/instance_side.h
@@ -12,7 +12,7 @@
 #include "broker_side.h"
 #include "poppyway/forward.h"
 #include "poppyway/gateway.h"
-#include "poppyway/news.h"
+#include "poppyway/polling.h"
 #include "poppyway/settings.h"
 #include "poppyway/state.h"
 #include "poppyway/wire.h"
@@ -23,7 +23,7 @@
 /// ledger claims, demands. Belongs to the control task.
 class InstanceSide {
  public:
-  InstanceSide(TaskLoop& loop,
+  InstanceSide(EventLoop& loop,
                const DaemonSettings& settings,
                std::string incarnation,
                BrokerSide& brokers,
@@ -35,18 +35,18 @@
   [[nodiscard]] BrokerPort MakeSlotBrokerPort();
   void AddSeeds(const std::vector<MemberSettings>& seeds);
   void Tick(Instant now);
-  void Take(GatewayMessage message);
+  void HandleMessage(GatewayMessage message);
   /// Stops acting as broker, tells the leader, drains the gateway.
-  void BeginStop();
+  void BeginShutdown();
   /// True once the gateway has drained and the ledger knows all that it has to know.
-  [[nodiscard]] bool Stopped() const;
+  [[nodiscard]] bool ShutdownComplete() const;
   /// Passes an operator's request on to the leader.
   void Forward(const wire::Body& body, const std::function<void(wire::Body)>& reply);
   [[nodiscard]] std::int64_t version() const noexcept { return m_version; }
   /// True while commands for the ledger wait.
   [[nodiscard]] bool Busy() const { return !m_commands.empty(); }
   void AddMetrics(MetricSet& metrics) const;
-  [[nodiscard]] SendQueue queue() const;
+  [[nodiscard]] SendQueueStats queue_stats() const;
   /// To members and brokers.
   [[nodiscard]] std::uint64_t bytes_sent() const;
 
@@ -75,7 +75,7 @@
   /// Hosted: takes the members, what the leader confirms, and the load of the other instances.
   void OnHostedBeat(const wire::HeartbeatReply& reply, Instant sent);
   /// Hosted: how news is read, and where it goes.
-  [[nodiscard]] NewsPort MakeNewsPort();
+  [[nodiscard]] PollerCallbacks MakePollerCallbacks();
   /// Turns to the leader that a member has named in a later term.
   void OnLeaderNamed(const wire::ConfigDelta& delta);
   /// A message that answers no call, or the loss of the connection, from the member at `index`.
@@ -106,7 +106,7 @@
   void OnGrants(const wire::Grants& grants);
   [[nodiscard]] PeerClient& Leader();
 
-  TaskLoop& m_loop;
+  EventLoop& m_loop;
   DaemonSettings m_settings;
   std::string m_incarnation;
   BrokerSide& m_brokers;
@@ -114,13 +114,13 @@
   ForwarderPort m_forwarder;
   std::vector<std::unique_ptr<PeerClient>> m_members;
   std::vector<Endpoint> m_places;     ///< Of `m_members`.
-  std::vector<NewsSource> m_sources;  ///< Of `m_members`.
+  std::vector<PollSource> m_sources;  ///< Of `m_members`.
   std::int64_t m_members_digest = 0;  ///< Of the members as a leader last listed them.
   std::size_t m_leader = 0;           ///< Index of the member believed to lead.
   std::size_t m_poll_member = 0;      ///< Index of the member that is polled.
   bool m_polling = false;
-  std::unique_ptr<HostedNews> m_news;  ///< Null: not hosted.
-  std::int64_t m_leader_document = 0;  ///< As the leader last said.
+  std::unique_ptr<HostedStatePoller> m_poller;  ///< Null: not hosted.
+  std::int64_t m_leader_document = 0;           ///< As the leader last said.
   std::int64_t m_leader_servers = 0;
   std::int64_t m_leader_term = 0;  ///< Of the latest leader that was named or answered.
   bool m_broker_told = false;      ///< The forwarder knows of the broker at the leader.
--- a/apps/poppywayd/log_writer.cc
+++ b/apps/poppywayd/log_writer.cc
@@ -6,7 +6,7 @@
 
 namespace poppyway {
 
-LogWriter::LogWriter(TaskLoop& loop, std::unique_ptr<LogStore> store, OnSaved on_saved)
+LogWriter::LogWriter(EventLoop& loop, std::unique_ptr<LogStore> store, OnSaved on_saved)
     : m_store(std::move(store)),
       m_outcomes(loop, std::move(on_saved)),
       m_thread([this] { Run(); }) {}
--- a/apps/poppywayd/log_writer.h
+++ b/apps/poppywayd/log_writer.h
@@ -16,7 +16,7 @@
 
 /// \brief What one save makes durable.
 struct LogSave {
-  LogNode m_node;  ///< Its `DurablePart`, as it was when the save began.
+  LogNode m_node;  ///< Its `CopyDurableState`, as it was when the save began.
   LogEffects m_effects;
   std::optional<wire::Snapshot> m_compacted;  ///< A segment begins with it, instead of the effects.
 };
@@ -34,7 +34,7 @@
   using OnSaved = std::function<void(SaveOutcome)>;
 
   /// `on_saved` is called on `loop`, which outlives the writer.
-  LogWriter(TaskLoop& loop, std::unique_ptr<LogStore> store, OnSaved on_saved);
+  LogWriter(EventLoop& loop, std::unique_ptr<LogStore> store, OnSaved on_saved);
   /// Waits for a save that is under way.
   ~LogWriter();
   LogWriter(const LogWriter&) = delete;
--- a/apps/poppywayd/main.cc
+++ b/apps/poppywayd/main.cc
@@ -36,10 +36,11 @@
                 const std::string& incarnation,
                 std::function<void(GatewayMessage)> to_control)
       : m_thread([this, settings, incarnation, to_control] {
-          TaskLoop loop;
+          EventLoop loop;
           Gateway gateway(loop, settings, incarnation, to_control);
-          Mailbox<ControlMessage> inbox(
-              loop, [&gateway](ControlMessage message) { gateway.Take(std::move(message)); });
+          Mailbox<ControlMessage> inbox(loop, [&gateway](ControlMessage message) {
+            gateway.HandleMessage(std::move(message));
+          });
           m_loop = &loop;
           m_inbox = &inbox;
           m_started.set_value(gateway.Listen());
@@ -55,14 +56,14 @@
 
  private:
   std::promise<Result<void>> m_started;
-  TaskLoop* m_loop = nullptr;
+  EventLoop* m_loop = nullptr;
   Mailbox<ControlMessage>* m_inbox = nullptr;
   std::thread m_thread;
 };
 
 int ReportStartFailure(const Error& error) {
   POPPYWAY_LOG(fatal, "start_failed")
-      .Field("code", Describe(error.m_code).m_name)
+      .Field("code", ResultInfoOf(error.m_code).m_name)
       .Field("why", error.m_message);
   std::cerr << "poppywayd: " << error.m_message << "\n";
   return kStartFailedExit;
@@ -71,7 +72,7 @@
 int Run(const DaemonSettings& settings) {
   const std::string incarnation = MakeIncarnation(settings.m_instance);
   StartLogging({.m_file = settings.m_log_file, .m_instance = settings.m_instance});
-  TaskLoop control_loop;
+  EventLoop control_loop;
   std::unique_ptr<GatewayThread> gateway;
   ControlTask control(control_loop, settings, incarnation,
                       [&gateway](ControlMessage message) { gateway->Send(std::move(message)); });
--- a/apps/poppywayd/member_disk.cc
+++ b/apps/poppywayd/member_disk.cc
@@ -69,7 +69,7 @@
 std::vector<wire::LogEntry> MemberSide::Perform() {
   LogEffects effects = std::exchange(m_effects, {});
   if (effects.m_install) {
-    if (Result<void> loaded = LoadMachine(m_machine, *effects.m_install); !loaded)
+    if (Result<void> loaded = RestoreStateMachine(m_machine, *effects.m_install); !loaded)
       FatalDisk(loaded.error());
     OnStateReplaced();
   }
@@ -81,25 +81,26 @@
 
 void MemberSide::SendOrHold(std::vector<wire::LogMessage> messages) {
   for (wire::LogMessage& message : messages) {
-    if (!m_disk_full && MaySend(m_node, message))
+    if (!m_disk_full && IsSafeToSend(m_node, message))
       SendTo(message);
     else
-      HoldMessage(m_held, std::move(message));
+      DeferMessage(m_held, std::move(message));
   }
 }
 
 void MemberSide::StartSave() {
-  if (m_node.m_save_under_way)
+  if (m_node.m_save_in_progress)
     return;
   LogSave save;
   if (SnapshotDue())
-    save.m_compacted = CompactLog(m_node, m_machine.m_applied, SaveMachine(m_machine));
+    save.m_compacted =
+        CompactLog(m_node, m_machine.m_applied_index, SerializeStateMachine(m_machine));
   else if (!m_unsaved.NeedsSync())
     return;
   // A segment that begins anew holds the whole log, also what isn't saved yet.
-  save.m_node = DurablePart(m_node, save.m_compacted || m_unsaved.m_install);
+  save.m_node = CopyDurableState(m_node, save.m_compacted || m_unsaved.m_install);
   save.m_effects = std::exchange(m_unsaved, {});
-  BeforeSync(m_node);
+  BeginLogSave(m_node);
   m_writer->Save(std::move(save));
 }
 
@@ -110,7 +111,7 @@
     const Error& why = outcome.m_result.error();
     if (why.m_code != ResultCode::kDiskFull)
       FatalDisk(why);
-    SaveRefused(m_node);
+    AbortLogSave(m_node);
     if (!save.m_compacted) {
       HoldBack(std::move(save.m_effects), why);
       return;
@@ -130,13 +131,13 @@
         .Field("took_ms", outcome.m_took.count() / 1000);
   if (m_disk_full)
     DiskHasRoom();
-  MergeEffects(m_effects, AfterSync(m_node));
+  MergeEffects(m_effects, FinishLogSave(m_node));
   SendOrHold(std::exchange(m_held, {}));
   Flush();
 }
 
 bool MemberSide::SnapshotDue() const {
-  const std::int64_t behind = m_machine.m_applied - m_node.m_snapshot_index;
+  const std::int64_t behind = m_machine.m_applied_index - m_node.m_snapshot_index;
   return behind >= m_settings.m_snapshot_entries && !m_disk_full && !m_unsaved.m_install;
 }
 
--- a/apps/poppywayd/member_document.cc
+++ b/apps/poppywayd/member_document.cc
@@ -33,7 +33,7 @@
   for (const wire::DocumentChange& step : steps.steps) {
     if (step.version <= document.version)
       continue;  // Applied here since the steps were asked for.
-    Result<wire::Document> next = ApplyStep(document, step);
+    Result<wire::Document> next = PatchDocument(document, step);
     if (!next)
       return next;
     document = std::move(*next);
@@ -48,7 +48,7 @@
     ForwardDocument(document, false, reply);
     return;
   }
-  if (!HoldsAllCommitted(m_node, m_machine.m_applied)) {
+  if (!HoldsAllCommitted(m_node, m_machine.m_applied_index)) {
     // A step from a document that an earlier leader has replaced would be refused.
     AwaitState(reply, [this, document, reply] { SubmitDocument(document, reply); });
     return;
@@ -90,7 +90,7 @@
 
 void MemberSide::ProposeDocument(DocumentOrder order) {
   const Instant begun = ReadClock();
-  wire::DocumentChange change = ChangeBetween(m_machine.m_hosted.m_document, order.m_document);
+  wire::DocumentChange change = DiffDocuments(m_machine.m_hosted.m_document, order.m_document);
   POPPYWAY_LOG(info, "document_proposed")
       .Field("base", change.base)
       .Field("version", change.version)
@@ -129,7 +129,7 @@
   const wire::Document& held = m_machine.m_hosted.m_document;
   wire::DocumentChange change;
   if (document.version > held.version)
-    change = whole ? WholeOf(document) : ChangeBetween(held, document);
+    change = whole ? FullDocumentChange(document) : DiffDocuments(held, document);
   else
     change.version = document.version;  // The leader holds one as high, and needs no more of it.
   wire::Body body;
@@ -143,7 +143,7 @@
 }
 
 void MemberSide::SubmitDocumentChange(const wire::DocumentChange& change, const ReplyFn& reply) {
-  if (leads() && !HoldsAllCommitted(m_node, m_machine.m_applied)) {
+  if (leads() && !HoldsAllCommitted(m_node, m_machine.m_applied_index)) {
     AwaitState(reply, [this, change, reply] { SubmitDocumentChange(change, reply); });
     return;
   }
@@ -151,7 +151,7 @@
   wire::Document document;
   document.version = change.version;
   if (change.version > held.version) {
-    Result<wire::Document> after = ApplyStep(held, change);
+    Result<wire::Document> after = PatchDocument(held, change);
     if (!after) {
       reply(ErrorBody(after.error().m_code, after.error().m_message));
       return;
@@ -194,7 +194,8 @@
   if (!LeadsForSure(reply))
     return;
   wire::DocumentSteps steps;
-  steps.steps = StepsFrom(m_steps, m_machine.m_hosted.m_document, read.have_version);
+  steps.steps =
+      DocumentChangesSince(m_document_history, m_machine.m_hosted.m_document, read.have_version);
   wire::Body body;
   body.__set_document_steps(std::move(steps));
   reply(std::move(body));
--- a/apps/poppywayd/member_evacuation.cc
+++ b/apps/poppywayd/member_evacuation.cc
@@ -12,7 +12,7 @@
 void MemberSide::SubmitEvacuation(const wire::EvacuationOrder& order, const ReplyFn& reply) {
   wire::EvacuationOrder dated = order;
   if (!order.__isset.known)
-    dated.__set_known(LastOrder(m_machine.m_hosted, order.data_centre));
+    dated.__set_known(LastEvacuationNumber(m_machine.m_hosted, order.data_centre));
   if (!leads()) {
     wire::Body body;
     body.__set_evacuation_order(dated);
@@ -35,20 +35,20 @@
   // still is one, and the first one must be safe by then.
   wire::Command command;
   command.__set_evacuation(dated);
-  const std::int64_t before = LastOrder(m_machine.m_hosted, order.data_centre);
+  const std::int64_t before = LastEvacuationNumber(m_machine.m_hosted, order.data_centre);
   Commit(std::move(command), [this, order, before, reply](wire::Body answer) {
     if (answer.__isset.error) {
       reply(std::move(answer));
       return;
     }
     const HostedState& hosted = m_machine.m_hosted;
-    const std::int64_t number = LastOrder(hosted, order.data_centre);
+    const std::int64_t number = LastEvacuationNumber(hosted, order.data_centre);
     POPPYWAY_LOG(info, "evacuation_ordered")
         .Field("data_centre", order.data_centre)
         .Field("ends", order.ends)
         .Field("number", number)
         .Field("changed", number != before)
-        .Field("log_index", m_machine.m_applied);
+        .Field("log_index", m_machine.m_applied_index);
     if (IsEvacuated(hosted, order.data_centre) == order.ends)
       reply(ErrorBody(ResultCode::kNoMajority, "other orders for '" + order.data_centre +
                                                    "' came in between; send it again"));
--- a/apps/poppywayd/member_hosted.cc
+++ b/apps/poppywayd/member_hosted.cc
@@ -65,15 +65,16 @@
 
 std::int64_t MemberSide::KnownLeaderTerm() const {
   const wire::MemberInfo* leader = FindMember(m_node.m_membership, m_node.m_leader);
-  return leader == nullptr ? 0 : m_node.m_hard.term;
+  return leader == nullptr ? 0 : m_node.m_hard_state.term;
 }
 
 wire::ConfigDelta MemberSide::NewsFor(const wire::ConfigPoll& poll) {
   const HostedState& hosted = m_machine.m_hosted;
   wire::ConfigDelta delta;
   if (poll.kind == wire::NewsKind::DOCUMENT) {
-    delta.steps =
-        FirstSteps(StepsFrom(m_steps, hosted.m_document, poll.have_document), kInlineBytes);
+    delta.steps = LimitChangeBytes(
+        DocumentChangesSince(m_document_history, hosted.m_document, poll.have_document),
+        kInlineBytes);
     for (const wire::DocumentChange& step : delta.steps)
       m_news_bytes += step.edits.size();
     return delta;
@@ -92,7 +93,8 @@
 
 void MemberSide::OnPieceRequest(const wire::PieceRequest& request, const ReplyFn& reply) {
   wire::Piece piece;
-  const wire::DocumentChange* step = FindStep(m_steps, request.base, request.version);
+  const wire::DocumentChange* step =
+      FindDocumentChange(m_document_history, request.base, request.version);
   const auto offset = static_cast<std::size_t>(std::max<std::int64_t>(request.offset, 0));
   if (step != nullptr && offset < step->edits.size())
     piece.bytes = step->edits.substr(offset, kPieceBytes);
@@ -103,7 +105,7 @@
 }
 
 bool MemberSide::LacksLeader(Instant now) const {
-  return !leads() && now - m_node.m_leader_heard > kLeaderMissed;
+  return !leads() && now - m_node.m_last_leader_contact > kLeaderMissed;
 }
 
 void MemberSide::AskLeader(wire::Body body, const ReplyFn& reply) {
@@ -138,7 +140,7 @@
 }
 
 bool MemberSide::Confirmed(Instant now) const {
-  return ConfirmedLeader(m_node, m_machine.m_applied, now);
+  return CanServeLinearizableReads(m_node, m_machine.m_applied_index, now);
 }
 
 bool MemberSide::LeadsForSure(const ReplyFn& reply) const {
@@ -187,7 +189,7 @@
 }
 
 bool MemberSide::KnowsAlready(const wire::ServerRecord& record) const {
-  const bool followed = ReadClock() - m_node.m_leader_heard <= kLeaderMissed;
+  const bool followed = ReadClock() - m_node.m_last_leader_contact <= kLeaderMissed;
   return followed && !TellsNews(record);
 }
 
--- a/apps/poppywayd/member_side.cc
+++ b/apps/poppywayd/member_side.cc
@@ -36,14 +36,14 @@
 
 }  // namespace
 
-MemberSide::MemberSide(TaskLoop& loop, const DaemonSettings& settings)
+MemberSide::MemberSide(EventLoop& loop, const DaemonSettings& settings)
     : m_loop(loop),
       m_settings(settings),
       m_places({settings.m_exposure_share, settings.m_exposure_slack}, settings.m_regions),
       m_rollouts({settings.m_exposure_share, settings.m_exposure_slack}),
       m_flusher(loop, [this](int) { Flush(); }) {
   for (const MemberSettings& member : settings.m_members) {
-    m_formation.m_names.push_back(member.m_name);
+    m_bootstrap.m_names.push_back(member.m_name);
     if (member.m_name != MemberName())
       m_peers[member.m_name] =
           std::make_unique<PeerClient>(loop, member.m_peer.m_address, member.m_peer.m_port);
@@ -63,17 +63,17 @@
   m_node.m_random.seed(static_cast<std::uint64_t>(stored.m_id) ^
                        static_cast<std::uint64_t>(ReadClock().time_since_epoch().count()));
   if (stored.m_snapshot) {
-    if (Result<void> loaded = LoadMachine(m_machine, *stored.m_snapshot); !loaded)
+    if (Result<void> loaded = RestoreStateMachine(m_machine, *stored.m_snapshot); !loaded)
       return loaded;
   }
   RestoreLog(m_node, stored);
   m_writer = std::make_unique<LogWriter>(
       m_loop, std::move(*store), [this](SaveOutcome outcome) { OnSaved(std::move(outcome)); });
   OnStateReplaced();
-  m_formation.m_self = Self();
+  m_bootstrap.m_self = Self();
   POPPYWAY_LOG(info, "log_opened")
       .Field("member_id", m_node.m_id)
-      .Field("blank", stored.m_blank)
+      .Field("blank", stored.m_newly_created)
       .Field("last_index", LastIndex(m_node))
       .Field("torn_bytes", stored.m_torn_bytes);
   return {};
@@ -81,7 +81,7 @@
 
 void MemberSide::OnStateReplaced() {
   const Instant now = ReadClock();
-  m_steps = {};
+  m_document_history = {};
   m_rollouts.OnApplied(m_machine.m_hosted, now);
   ReadColdLimits();
   m_cold_until.clear();
@@ -121,15 +121,15 @@
   CountEntries(message);
   wire::Body body;
   body.__set_log(message);
-  peer->Tell(std::move(body));
+  peer->Notify(std::move(body));
 }
 
 void MemberSide::CountEntries(const wire::LogMessage& message) {
   std::int64_t& until = m_sent_until[message.to_id];
   for (const wire::LogEntry& entry : message.body.append.entries) {
-    m_log_bytes += BytesOf(entry);
+    m_log_bytes += EntrySizeBytes(entry);
     if (entry.index <= until)
-      m_log_bytes_again += BytesOf(entry);
+      m_log_bytes_again += EntrySizeBytes(entry);
     until = std::max(until, entry.index);
   }
 }
@@ -140,12 +140,12 @@
   const std::int64_t servers_before = m_machine.m_hosted.m_servers_index;
   const std::map<std::string, wire::Rollout> rollouts_before = m_machine.m_hosted.m_rollouts;
   for (const wire::LogEntry& entry : entries) {
-    if (entry.index <= m_machine.m_applied)
+    if (entry.index <= m_machine.m_applied_index)
       continue;
     const std::int64_t held = m_machine.m_hosted.m_document.version;
     wire::CommandResult result = ApplyEntry(m_machine, entry);
     if (m_machine.m_hosted.m_document.version != held)
-      NoteStep(m_steps, entry.command.document_change);
+      AppendToHistory(m_document_history, entry.command.document_change);
     const auto found = m_pending.find(entry.index);
     if (found == m_pending.end())
       continue;
@@ -184,7 +184,7 @@
   if (document)
     POPPYWAY_LOG(info, "document_accepted")
         .Field("version", m_machine.m_hosted.m_document.version)
-        .Field("log_index", m_machine.m_applied);
+        .Field("log_index", m_machine.m_applied_index);
   AnswerPolls(ReadClock());
 }
 
@@ -211,20 +211,22 @@
   const std::int64_t silent_ms = (now - heard).count() / 1000;
   const bool led = before.m_role == Role::kLeader;
   if (leads() && !led)
-    POPPYWAY_LOG(info, "leading").Field("term", m_node.m_hard.term);
+    POPPYWAY_LOG(info, "leading").Field("term", m_node.m_hard_state.term);
   if (led && !leads())
-    POPPYWAY_LOG(info, "lead_lost").Field("term", m_node.m_hard.term).Field("led_ms", silent_ms);
+    POPPYWAY_LOG(info, "lead_lost")
+        .Field("term", m_node.m_hard_state.term)
+        .Field("led_ms", silent_ms);
   if (!leads() && before.m_leader == 0 && m_node.m_leader != 0)
-    POPPYWAY_LOG(info, "following").Field("term", m_node.m_hard.term);
+    POPPYWAY_LOG(info, "following").Field("term", m_node.m_hard_state.term);
   if (!led && before.m_leader != 0 && m_node.m_leader == 0)
     POPPYWAY_LOG(info, "leader_lost")
-        .Field("term", m_node.m_hard.term)
+        .Field("term", m_node.m_hard_state.term)
         .Field("silent_ms", silent_ms);
 }
 
 void MemberSide::Lead(Instant now) {
   const Part before = CurrentPart();
-  const Instant heard = m_node.m_leader_heard;
+  const Instant heard = m_node.m_last_leader_contact;
   Take(TickLog(m_node, now));
   LogPartChange(before, heard, now);
   if ((Blank() || LacksLeader(now)) && now >= m_hello_due)
@@ -238,12 +240,12 @@
   }
   if (m_table.m_leading_since == Instant{})
     // A hosted instance that falls silent may serve until its last confirmation lapses.
-    m_table = BeginLeading(
+    m_table = MakeInstanceTable(
         std::chrono::milliseconds(std::max(m_settings.m_lease_ms, m_settings.m_confirm_ms)),
         std::chrono::milliseconds(m_settings.m_lease_ms / 5), now);
   ProposeDue(now);
-  if (m_settings.m_hosted && m_places.epoch() != m_node.m_hard.term)
-    m_places.OnLeadershipGained(m_node.m_hard.term, m_machine.m_hosted,
+  if (m_settings.m_hosted && m_places.epoch() != m_node.m_hard_state.term)
+    m_places.OnLeadershipGained(m_node.m_hard_state.term, m_machine.m_hosted,
                                 std::chrono::milliseconds(m_settings.m_confirm_ms), now);
   m_places.Tick(now);
   ProposeRollouts(now);
@@ -280,7 +282,7 @@
         if (PeerNamed(member.name) != nullptr)
           m_names[member.id] = member.name;
       }
-      NoteHello(m_formation, reply->hello_reply.member, reply->hello_reply.blank);
+      RecordHello(m_bootstrap, reply->hello_reply.member, reply->hello_reply.blank);
     });
   }
   TryForm(now);
@@ -289,11 +291,11 @@
 void MemberSide::TryForm(Instant now) {
   if (!m_settings.m_may_form || !Blank())
     return;
-  const std::optional<wire::Membership> membership = MayForm(m_formation);
+  const std::optional<wire::Membership> membership = BootstrapMembership(m_bootstrap);
   if (!membership)
     return;
   POPPYWAY_LOG(info, "cluster_formed").Field("members", membership->members.size());
-  Take(FormLog(m_node, *membership, now));
+  Take(BootstrapLog(m_node, *membership, now));
 }
 
 void MemberSide::OnHello(const wire::Hello& hello, const ReplyFn& reply) {
@@ -304,7 +306,7 @@
   m_names[hello.member.id] = hello.member.name;
   const bool stranger = FindMember(m_node.m_membership, hello.member.id) == nullptr;
   if (Blank())
-    NoteHello(m_formation, hello.member, hello.blank);
+    RecordHello(m_bootstrap, hello.member, hello.blank);
   else if (leads() && (hello.blank || stranger))
     m_joining[hello.member.name] = hello.member;
   wire::HelloReply answer;
@@ -319,13 +321,14 @@
 
 /// What a leader proposes of itself: memberships, gone instances, broker leases.
 void MemberSide::ProposeDue(Instant now) {
-  if (m_machine.m_applied < m_proposing_until)
+  if (m_machine.m_applied_index < m_proposing_until)
     return;
   LogEffects effects;
   std::vector<wire::MemberInfo> joining;
   for (const auto& [name, member] : m_joining)
     joining.push_back(member);
-  if (const std::optional<wire::Membership> membership = DueMembership(m_node, joining, now)) {
+  if (const std::optional<wire::Membership> membership =
+          PlanMembershipChange(m_node, joining, now)) {
     const Result<std::int64_t> index = ProposeMembership(m_node, *membership, effects, now);
     if (index)
       POPPYWAY_LOG(info, "membership_proposed")
@@ -338,7 +341,7 @@
     owners.insert(owner);
   ExpireInstances(m_table, owners, now);
   std::vector<wire::Command> commands;
-  for (const std::string& incarnation : m_table.m_gone) {
+  for (const std::string& incarnation : m_table.m_ended_incarnations) {
     wire::InstanceGone gone;
     gone.incarnation = incarnation;
     commands.emplace_back().__set_gone(gone);
@@ -347,13 +350,13 @@
         .Field("led_ms", (now - m_table.m_leading_since).count() / 1000)
         .Field("beats_refused", m_beats_refused);
   }
-  m_table.m_gone.clear();
+  m_table.m_ended_incarnations.clear();
   std::vector<std::string> pools;
   for (const auto& [name, object] : m_machine.m_configuration.m_objects) {
     if (name.first == "pool")
       pools.push_back(name.second);
   }
-  for (const wire::LeaseGrant& grant : DueLeases(m_table, pools, m_machine.m_leases, now)) {
+  for (const wire::LeaseGrant& grant : PlanLeaseGrants(m_table, pools, m_machine.m_leases, now)) {
     commands.emplace_back().__set_lease(grant);
     POPPYWAY_LOG(info, "lease_proposed").Field("lease", grant.lease).Field("holder", grant.holder);
   }
@@ -367,7 +370,7 @@
     return;  // A member that can't write takes no part, as if it were slow.
   m_names[message.from_id] = message.from_name;
   const Part before = CurrentPart();
-  const Instant heard = m_node.m_leader_heard;
+  const Instant heard = m_node.m_last_leader_contact;
   const Instant now = ReadClock();
   Take(StepLog(m_node, message, now));
   if (leads() && before.m_role != Role::kLeader)
@@ -400,7 +403,7 @@
   }
   auto proposal = std::make_shared<PendingProposal>();
   proposal->m_left = propose.commands.size();
-  proposal->m_term = m_node.m_hard.term;
+  proposal->m_term = m_node.m_hard_state.term;
   proposal->m_results.resize(propose.commands.size());
   proposal->m_reply = reply;
   proposal->m_expires = now + kProposalLimit;
@@ -414,7 +417,7 @@
   const bool begun = leads() && m_table.m_leading_since != Instant{};
   // It has been heard, whether or not it may be answered.
   if (begun)
-    TakeHeartbeat(m_table, beat, now);
+    RecordHeartbeat(m_table, beat, now);
   if (!begun || !Confirmed(now)) {
     m_beats_refused += begun ? 1 : 0;
     reply(NotLeader());
@@ -429,7 +432,7 @@
       answer.leases.push_back(lease);
   }
   answer.version = m_machine.m_configuration.m_version;
-  answer.leader_term = m_node.m_hard.term;
+  answer.leader_term = m_node.m_hard_state.term;
   answer.live = static_cast<std::int32_t>(m_table.m_live.size());
   if (m_settings.m_hosted) {
     answer.members_digest = DigestOf(m_node.m_membership);
--- a/apps/poppywayd/member_side.h
+++ b/apps/poppywayd/member_side.h
@@ -27,7 +27,7 @@
 /// machine. Belongs to the control task.
 class MemberSide {
  public:
-  MemberSide(TaskLoop& loop, const DaemonSettings& settings);
+  MemberSide(EventLoop& loop, const DaemonSettings& settings);
   ~MemberSide();
 
   /// Opens the data folder and replays it.
@@ -82,7 +82,7 @@
   /// The error for a caller that should ask the leader.
   [[nodiscard]] wire::Body NotLeader() const;
   void AddMetrics(MetricSet& metrics) const;
-  [[nodiscard]] SendQueue queue() const;
+  [[nodiscard]] SendQueueStats queue_stats() const;
   /// True while this member leads, or follows a leader that it has heard lately.
   [[nodiscard]] bool Follows(Instant now) const;
   /// To other members.
@@ -202,7 +202,7 @@
   void OnStateReplaced();
   void ReadColdLimits();
 
-  TaskLoop& m_loop;
+  EventLoop& m_loop;
   DaemonSettings m_settings;
   LogNode m_node;
   std::unique_ptr<LogWriter> m_writer;
@@ -215,7 +215,7 @@
   RegistryBound m_registry;
   std::map<std::string, std::unique_ptr<PeerClient>> m_peers;  ///< By member name.
   std::map<MemberId, std::string> m_names;                     ///< Learned from messages.
-  Formation m_formation;
+  ClusterBootstrap m_bootstrap;
   std::map<std::string, wire::MemberInfo> m_joining;  ///< Members that asked to join, by name.
   LogEffects m_effects;                               ///< What the next flush performs.
   LogEffects m_unsaved;                  ///< Of effects performed, what the next save takes.
@@ -227,7 +227,7 @@
   Mailbox<int> m_flusher;
   std::map<std::int64_t, Slot> m_pending;  ///< By log index.
   std::vector<ParkedPoll> m_polls;
-  DocumentHistory m_steps;
+  DocumentHistory m_document_history;
   std::optional<DocumentOrder> m_proposed_document;  ///< Under way.
   std::optional<DocumentOrder> m_waiting_document;   ///< Comes after it.
   Instant m_servers_told{};  ///< When parked polls last got changes of servers.
--- a/apps/poppywayd/member_status.cc
+++ b/apps/poppywayd/member_status.cc
@@ -29,25 +29,25 @@
   wire::StatusReply status;
   status.instance = m_settings.m_instance;
   status.leader_id = m_node.m_leader;
-  status.term = m_node.m_hard.term;
-  status.commit = m_node.m_commit;
+  status.term = m_node.m_hard_state.term;
+  status.commit = m_node.m_commit_index;
   status.version = m_machine.m_configuration.m_version;
   status.membership = m_node.m_membership;
   status.leader_here = LeadsWithQuorum(m_node, now);
   status.ledger_keys = static_cast<std::int64_t>(m_machine.m_ledger.m_keys.size());
-  status.lease_age_ms = (now - m_node.m_leader_heard).count() / 1000;
+  status.lease_age_ms = (now - m_node.m_last_leader_contact).count() / 1000;
   for (const auto& [incarnation, record] : m_table.m_live) {
     wire::InstanceStatus instance;
-    instance.instance = record.m_beat.instance;
+    instance.instance = record.m_heartbeat.instance;
     instance.incarnation = incarnation;
-    instance.data_centre = record.m_beat.data_centre;
-    instance.version_in_force = record.m_beat.version_in_force;
-    instance.ready = record.m_beat.ready;
-    instance.stopping = record.m_beat.stopping;
-    instance.age_ms = (now - record.m_heard).count() / 1000;
-    instance.http = record.m_beat.http;
-    instance.address = record.m_beat.address;
-    instance.port = record.m_beat.port;
+    instance.data_centre = record.m_heartbeat.data_centre;
+    instance.version_in_force = record.m_heartbeat.version_in_force;
+    instance.ready = record.m_heartbeat.ready;
+    instance.stopping = record.m_heartbeat.stopping;
+    instance.age_ms = (now - record.m_last_heartbeat).count() / 1000;
+    instance.http = record.m_heartbeat.http;
+    instance.address = record.m_heartbeat.address;
+    instance.port = record.m_heartbeat.port;
     status.instances.push_back(std::move(instance));
   }
   for (const auto& [name, lease] : m_machine.m_leases)
@@ -59,7 +59,8 @@
 bool MemberSide::Follows(Instant now) const {
   if (leads())
     return LeadsWithQuorum(m_node, now);
-  return m_node.m_leader != 0 && now - m_node.m_leader_heard < m_node.m_timing.m_election_max;
+  return m_node.m_leader != 0 &&
+         now - m_node.m_last_leader_contact < m_node.m_timing.m_election_max;
 }
 
 std::uint64_t MemberSide::bytes_sent() const {
@@ -69,16 +70,16 @@
   return bytes;
 }
 
-SendQueue MemberSide::queue() const {
-  SendQueue all;
+SendQueueStats MemberSide::queue_stats() const {
+  SendQueueStats all;
   for (const auto& [name, peer] : m_peers)
-    all = Join(all, peer->queue());
+    all = CombineQueueStats(all, peer->queue_stats());
   return all;
 }
 
 void MemberSide::AddMetrics(MetricSet& metrics) const {
-  metrics.Set("poppyway_log_term", "", static_cast<double>(m_node.m_hard.term));
-  metrics.Set("poppyway_log_commit", "", static_cast<double>(m_node.m_commit));
+  metrics.Set("poppyway_log_term", "", static_cast<double>(m_node.m_hard_state.term));
+  metrics.Set("poppyway_log_commit", "", static_cast<double>(m_node.m_commit_index));
   metrics.Set("poppyway_log_leader", "", leads() ? 1 : 0);
   metrics.Set("poppyway_log_syncs", "", static_cast<double>(m_syncs));
   metrics.Put("poppyway_log_sync_seconds", "", m_sync_times);
@@ -91,7 +92,7 @@
   metrics.Set("poppyway_news_document_bytes", "", static_cast<double>(m_news_bytes));
   metrics.Set("poppyway_ledger_keys", "", static_cast<double>(m_machine.m_ledger.m_keys.size()));
   metrics.Set("poppyway_ledger_kept_bytes", "",
-              static_cast<double>(m_machine.m_ledger.m_kept_bytes));
+              static_cast<double>(m_machine.m_ledger.m_stored_answer_bytes));
   for (const wire::EvacuationStatus& status : EvacuationStatuses()) {
     const std::string label = "data_centre=\"" + status.evacuation.data_centre + "\"";
     metrics.Set("poppyway_evacuated", label, status.evacuation.ended ? 0 : 1);
--- a/apps/poppywayd/platform_list.cc
+++ b/apps/poppywayd/platform_list.cc
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-PlatformList::PlatformList(TaskLoop& loop, const std::string& url, OnChange on_change)
+PlatformList::PlatformList(EventLoop& loop, const std::string& url, OnChange on_change)
     : m_loop(loop), m_on_change(std::move(on_change)) {
   if (url.empty())
     return;
@@ -38,7 +38,7 @@
   events.m_may_send = [] { return true; };
   events.m_on_head = [](const UpstreamHead&) {};
   events.m_on_data = [this](std::string_view bytes) { m_body += bytes; };
-  events.m_on_whole = [this] { Take(m_body); };
+  events.m_on_complete = [this] { Take(m_body); };
   events.m_on_failure = [this](bool, const std::string&) { ++m_failures; };
   const std::string request =
       "GET " + m_path + " HTTP/1.1\r\nhost: " + ToText(m_endpoint) + "\r\n\r\n";
--- a/apps/poppywayd/platform_list.h
+++ b/apps/poppywayd/platform_list.h
@@ -22,7 +22,7 @@
   using OnChange = std::function<void(const LeavingServers&)>;
 
   /// \param url `address:port/path`; empty: nothing is polled.
-  PlatformList(TaskLoop& loop, const std::string& url, OnChange on_change);
+  PlatformList(EventLoop& loop, const std::string& url, OnChange on_change);
   void Tick(Instant now);
   [[nodiscard]] std::uint64_t failures() const noexcept { return m_failures; }
 
@@ -30,7 +30,7 @@
   void Poll();
   void Take(const std::string& body);
 
-  TaskLoop& m_loop;
+  EventLoop& m_loop;
   Endpoint m_endpoint;
   std::string m_path;
   OnChange m_on_change;
--- a/apps/poppywayd/registry_bound.cc
+++ b/apps/poppywayd/registry_bound.cc
@@ -12,10 +12,10 @@
 }  // namespace
 
 bool RegistryBound::Refuses(const HostedState& state, const wire::ServerRecord& record) {
-  if (state.m_servers.size() < kUnnamedServers)
+  if (state.m_servers.size() < kMaxUnlistedPoolServers)
     return false;  // The document needn't be read.
   ReadNames(state.m_document);
-  if (!IsOneTooMany(state, m_named, record))
+  if (!ExceedsUnlistedPoolLimit(state, m_named, record))
     return false;
   ++m_refused;
   const Instant now = ReadClock();
--- a/apps/poppywayd/registry_bound.h
+++ b/apps/poppywayd/registry_bound.h
@@ -14,7 +14,7 @@
 /// to the leading member's task.
 class RegistryBound {
  public:
-  /// True if the server can't be registered: see `IsOneTooMany`.
+  /// True if the server can't be registered: see `ExceedsUnlistedPoolLimit`.
   [[nodiscard]] bool Refuses(const HostedState& state, const wire::ServerRecord& record);
   void AddMetrics(MetricSet& metrics) const;
 
--- a/apps/poppywayd/rollout_side.cc
+++ b/apps/poppywayd/rollout_side.cc
@@ -73,7 +73,7 @@
   std::vector<wire::RolloutStep> steps;
   for (const auto& [pool, rollout] : state.m_rollouts) {
     const auto watch = m_watches.find(pool);
-    if (!UnderWay(rollout) || watch == m_watches.end())
+    if (!IsRolloutActive(rollout) || watch == m_watches.end())
       continue;
     if (std::optional<wire::RolloutStep> step = DueStep(rollout, watch->second, places, now))
       steps.push_back(std::move(*step));
--- a/apps/poppywayd/slot_broker_service.cc
+++ b/apps/poppywayd/slot_broker_service.cc
@@ -80,7 +80,7 @@
 std::vector<SlotRollout> RolloutsUnderWay(const HostedState& state) {
   std::vector<SlotRollout> rollouts;
   for (const auto& [pool, rollout] : state.m_rollouts) {
-    if (UnderWay(rollout))
+    if (IsRolloutActive(rollout))
       rollouts.push_back(
           {pool,
            {rollout.number, rollout.target, rollout.stage == wire::RolloutStage::MOVING,
--- a/bench/fleet.cc
+++ b/bench/fleet.cc
@@ -244,7 +244,7 @@
     }
     if (live.m_dispatches > 0)
       Violate("a refusal that says not run has a dispatch");
-    End(live, std::string(Describe(code).m_name));
+    End(live, std::string(ResultInfoOf(code).m_name));
   }
 
   void RefuseWaiting(PoolClient& client, RequestRef ref, ResultCode code) {
--- a/bench/hop.cc
+++ b/bench/hop.cc
@@ -56,7 +56,7 @@
     return 64;
   }
   std::signal(SIGPIPE, SIG_IGN);
-  TaskLoop loop;
+  EventLoop loop;
   UpstreamPools pools(loop);
   Totals totals;
   std::vector<Stream> all(streams);
@@ -81,7 +81,7 @@
       }
       totals.m_tokens += CountTokens(bytes);
     };
-    events.m_on_whole = [&] {
+    events.m_on_complete = [&] {
       ++totals.m_answers;
       over.push_back(std::move(stream.m_call));
       starts->Send(&stream);
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -141,13 +141,13 @@
     Row("heartbeat_reply_per_lease_us", leases, MicrosPerCall([&] { (void)EncodeFrame(reply); }));
   }
   for (const int instances : {100, 400, 940}) {
-    InstanceTable table = BeginLeading(Duration(3'000'000), Duration(600'000), Instant{});
+    InstanceTable table = MakeInstanceTable(Duration(3'000'000), Duration(600'000), Instant{});
     for (int i = 0; i < instances; ++i)
-      TakeHeartbeat(table, Beat(i), Instant{});
+      RecordHeartbeat(table, Beat(i), Instant{});
     int next = 0;
     Row("heartbeat_take_per_instance_us", instances, MicrosPerCall([&] {
           const auto payload = Deserialize<wire::Envelope>(std::string_view(frame).substr(4));
-          TakeHeartbeat(table, Beat(next++ % instances), Instant{});
+          RecordHeartbeat(table, Beat(next++ % instances), Instant{});
           if (!payload)
             std::abort();
         }));
@@ -266,7 +266,7 @@
     Row("ledger_apply_per_key_us", keys, CpuMicros() - begun);
     Row("ledger_memory_per_key_bytes", keys, HeapBytes() - before);
     const double saving = CpuMicros();
-    const std::string state = SaveMachine(machine);
+    const std::string state = SerializeStateMachine(machine);
     Row("snapshot_save_per_key_us", keys, CpuMicros() - saving);
     Row("snapshot_per_key_bytes", keys, static_cast<double>(state.size()));
     wire::Snapshot snapshot;
@@ -274,7 +274,7 @@
     snapshot.state = state;
     const double loading = CpuMicros();
     StateMachine loaded;
-    (void)LoadMachine(loaded, snapshot);
+    (void)RestoreStateMachine(loaded, snapshot);
     Row("snapshot_load_per_key_us", keys, CpuMicros() - loading);
   }
 }
--- a/fakes/fake_server.cc
+++ b/fakes/fake_server.cc
@@ -325,7 +325,7 @@
     h2o_accept(&g_accept, socket);
 }
 
-bool ListenOn(TaskLoop& loop, std::uint16_t port) {
+bool ListenOn(EventLoop& loop, std::uint16_t port) {
   const Result<int> fd = OpenListener("127.0.0.1", port);
   if (!fd) {
     std::cerr << "poppyway-fake: " << fd.error().m_message << "\n";
@@ -337,7 +337,7 @@
 }
 
 int Run(const std::vector<std::string>& engines, const std::vector<std::uint16_t>& services) {
-  TaskLoop loop;
+  EventLoop loop;
   h2o_globalconf_t global{};
   h2o_context_t context{};
   h2o_config_init(&global);
--- a/fuzz/codec_fuzz.cc
+++ b/fuzz/codec_fuzz.cc
@@ -31,14 +31,15 @@
 void FuzzControlCall(std::string_view bytes) {
   const std::string_view method = TakeLine(bytes);
   const std::string_view target = TakeLine(bytes);
-  const Result<platform::ControlCall> call = platform::DecodeControlCall(method, target, bytes);
-  const bool faulty = platform::HeartbeatFaultOf(method, target, bytes).has_value();
+  const Result<platform::ControlRequest> call =
+      platform::DecodeControlRequest(method, target, bytes);
+  const bool faulty = platform::FindHeartbeatError(method, target, bytes).has_value();
   Require(!faulty || !call);
   if (!call) {
     Require(platform::EncodeControlError(call.error()).m_status == 400);
     return;
   }
-  if (call->m_kind != platform::ControlCall::Kind::kServerSeen)
+  if (call->m_kind != platform::ControlRequest::Kind::kServerHeartbeat)
     return;
   const wire::ServerRecord& server = call->m_server;
   Require(!server.id.empty() && !server.pool.empty() && !server.data_centre.empty());
@@ -68,7 +69,7 @@
 
 /// Header fields, "name: value" a line.
 void FuzzDialect(std::string_view bytes) {
-  static const Dialect kDialect = platform::MakeDialect();
+  static const ProtocolAdapter kDialect = platform::MakeProtocolAdapter();
   std::vector<Field> fields;
   while (!bytes.empty()) {
     const std::string_view line = TakeLine(bytes);
@@ -78,8 +79,8 @@
   }
   const CallerRequest request = kDialect.m_decode_request(fields);
   Require(request.m_prompt_tokens >= 0);
-  Require(!request.m_patience || *request.m_patience >= Duration(0));
-  (void)kDialect.m_decode_answer(200, std::move(fields));
+  Require(!request.m_timeout || *request.m_timeout >= Duration(0));
+  (void)kDialect.m_decode_response(200, std::move(fields));
 }
 
 /// What is split must not depend on where reads end: the first byte says where they do.
@@ -88,16 +89,16 @@
     return;
   const std::size_t step = static_cast<unsigned char>(bytes.front()) + std::size_t{1};
   bytes.remove_prefix(1);
-  EventStream at_once;
-  const std::string whole = TakeEvents(at_once, bytes);
-  EventStream in_parts;
+  EventStreamParser at_once;
+  const std::string whole = ExtractEvents(at_once, bytes);
+  EventStreamParser in_parts;
   std::string parts;
   for (std::size_t at = 0; at < bytes.size(); at += step)
-    parts += TakeEvents(in_parts, bytes.substr(at, step));
+    parts += ExtractEvents(in_parts, bytes.substr(at, step));
   Require(at_once.m_out_of_order == in_parts.m_out_of_order);
   if (!at_once.m_out_of_order)
     Require(whole == parts && at_once.m_partial == in_parts.m_partial &&
-            at_once.m_last == in_parts.m_last && at_once.m_events == in_parts.m_events &&
+            at_once.m_last_id == in_parts.m_last_id && at_once.m_events == in_parts.m_events &&
             whole + at_once.m_partial == bytes);
 }
 
--- a/packages/core/include/poppyway/core/impl/result_code.h
+++ b/packages/core/include/poppyway/core/impl/result_code.h
@@ -82,7 +82,7 @@
 [[nodiscard]] std::span<const ResultInfo> ResultTable() noexcept;
 
 /// \brief The row of one code. Precondition: `code` is an enumerator.
-[[nodiscard]] const ResultInfo& Describe(ResultCode code) noexcept;
+[[nodiscard]] const ResultInfo& ResultInfoOf(ResultCode code) noexcept;
 
 /// \brief "not run", "outcome unknown" or "ran".
 [[nodiscard]] std::string_view RunStateName(RunState state) noexcept;
--- a/packages/core/src/result_code.cc
+++ b/packages/core/src/result_code.cc
@@ -89,7 +89,7 @@
   return kTable;
 }
 
-const ResultInfo& Describe(ResultCode code) noexcept {
+const ResultInfo& ResultInfoOf(ResultCode code) noexcept {
   const auto row = std::find_if(kTable.begin(), kTable.end(),
                                 [code](const ResultInfo& info) { return info.m_code == code; });
   return row == kTable.end() ? kTable.front() : *row;
--- a/packages/forward/include/poppyway/forward/impl/backend_call.h
+++ b/packages/forward/include/poppyway/forward/impl/backend_call.h
@@ -14,7 +14,7 @@
 #include <http_parser.h>
 
 #include "poppyway/core.h"
-#include "poppyway/forward/impl/dialect.h"
+#include "poppyway/forward/impl/protocol_adapter.h"
 #include "poppyway/settings.h"
 #include "poppyway/wire.h"
 
@@ -48,7 +48,7 @@
   std::function<bool()> m_may_send;
   std::function<HeadVerdict(int status, std::vector<Field> fields)> m_on_head;
   std::function<void(std::string_view)> m_on_data;
-  std::function<void()> m_on_whole;
+  std::function<void()> m_on_complete;
   std::function<void(CallFault)> m_on_fault;
 };
 
@@ -61,7 +61,7 @@
 /// long a connection attempt may take. Sockets are the library's, parsing is http_parser's.
 class BackendPool {
  public:
-  explicit BackendPool(TaskLoop& loop);
+  explicit BackendPool(EventLoop& loop);
   ~BackendPool();
   BackendPool(const BackendPool&) = delete;
   BackendPool& operator=(const BackendPool&) = delete;
@@ -81,7 +81,7 @@
   void Expire();
   static void OnResting(h2o_socket_t* socket, const char* fault);
 
-  TaskLoop& m_loop;
+  EventLoop& m_loop;
   h2o_timeout_t m_connect_limit;
   h2o_timeout_t m_at_once;  ///< The loop's next turn.
   std::map<Endpoint, std::vector<std::unique_ptr<Resting>>> m_resting;
--- a/packages/forward/include/poppyway/forward/impl/forwarder.h
+++ b/packages/forward/include/poppyway/forward/impl/forwarder.h
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "poppyway/forward/impl/dialect.h"
-#include "poppyway/forward/impl/fleet_messages.h"
+#include "poppyway/forward/impl/forwarder_messages.h"
 #include "poppyway/forward/impl/forwarding.h"
+#include "poppyway/forward/impl/protocol_adapter.h"
 #include "poppyway/http.h"
 #include "poppyway/policy.h"
 #include "poppyway/telemetry.h"
@@ -28,14 +28,15 @@
   std::string m_data_centre;
   RegionMap m_regions;  ///< Of all data centres.
   SlowStartTolerance m_slow_start_tolerance;
-  Endpoint m_callers;                ///< Where callers connect.
-  Endpoint m_readiness;              ///< Where the balancer asks.
-  Endpoint m_metrics;                ///< Port 0: none.
-  Duration m_stop_limit{8'000'000};  ///< A planned stop is over after this, whatever still runs.
-  RetryLimit m_retry_limit;          ///< Second dispatches, over all instances.
+  Endpoint m_caller_endpoint;     ///< Where callers connect.
+  Endpoint m_readiness_endpoint;  ///< Where the balancer asks.
+  Endpoint m_metrics_endpoint;    ///< Port 0: none.
+  Duration m_shutdown_timeout{
+      8'000'000};            ///< A planned stop is over after this, whatever still runs.
+  RetryLimit m_retry_limit;  ///< Second dispatches, over all instances.
   QuotaTolerance m_quota_tolerance;
   /// An instance that can't reach a leader may go on for so long with what it knows.
-  Duration m_unconfirmed_limit{5'000'000};
+  Duration m_max_config_staleness{5'000'000};
 };
 
 /// \brief The order of waiting: the workspace's tier, then the route's, then shorter answers before
@@ -97,7 +98,7 @@
 /// \brief All state of the forwarder task. Plain data; the functions of src/ act on it.
 struct ForwarderState {
   ForwarderSettings m_settings;
-  Dialect m_dialect;
+  ProtocolAdapter m_adapter;
   std::shared_ptr<const RouteTable> m_table;
   Instant m_confirmed_until{};
   BrokerLink m_broker;
@@ -105,7 +106,7 @@
   double m_tokens_per_event = 0;      ///< Learned; zero: not known yet.
   RoundTripTable m_round_trip_table;  ///< From this instance's region.
   bool m_stopping = false;
-  Instant m_stop_begun{};
+  Instant m_shutdown_started{};
   bool m_ready_told = false;
   std::map<std::string, Backend> m_backends;
   Instant m_back_off_until{};  ///< The latest of theirs: no server asks for anything after it.
@@ -129,21 +130,21 @@
 /// \brief The forwarder task. Belongs to its loop's thread.
 class Forwarder {
  public:
-  Forwarder(TaskLoop& loop, const ForwarderSettings& settings, Dialect dialect);
+  Forwarder(EventLoop& loop, const ForwarderSettings& settings, ProtocolAdapter adapter);
   ~Forwarder();
 
   /// Listens for callers, the balancer and readers of metrics.
   [[nodiscard]] Result<void> Listen();
   /// Takes one message of the control task.
-  void Take(FleetMessage message);
+  void HandleMessage(ForwarderMessage message);
   /// Where place requests go. Without one this instance decides alone.
-  void SetBroker(BrokerPort port) { m_state.m_broker.m_port = std::move(port); }
+  void SetBrokerPort(BrokerPort port) { m_state.m_broker.m_port = std::move(port); }
   /// Adds the metrics of other parts of the daemon to those that are served.
-  void SetMoreMetrics(std::function<void(MetricSet&)> add) { m_more_metrics = std::move(add); }
+  void SetExtraMetrics(std::function<void(MetricSet&)> add) { m_extra_metrics = std::move(add); }
   /// A planned stop begins: not ready at once, answers are finished.
-  void BeginStop();
+  void BeginShutdown();
   /// True once nothing is left to finish, or the limit is reached.
-  [[nodiscard]] bool Stopped() const;
+  [[nodiscard]] bool ShutdownComplete() const;
   [[nodiscard]] ForwarderState& state() noexcept { return m_state; }
 
  private:
@@ -152,13 +153,13 @@
   void OnMetrics(h2o_req_t* req);
   bool Tick();
 
-  TaskLoop& m_loop;
+  EventLoop& m_loop;
   ForwarderState m_state;
   std::unique_ptr<HttpServer> m_callers;
   std::unique_ptr<HttpServer> m_readiness;
   std::unique_ptr<HttpServer> m_metrics;
   std::unique_ptr<RepeatingTimer> m_tick;
-  std::function<void(MetricSet&)> m_more_metrics;
+  std::function<void(MetricSet&)> m_extra_metrics;
 };
 
 }  // namespace poppyway
--- a/packages/forward/include/poppyway/forward/impl/fleet_messages.h
+++ b/packages/forward/include/poppyway/forward/impl/forwarder_messages.h
@@ -35,20 +35,20 @@
 };
 
 /// \brief How many instances take callers, this one included, as the leader last heard.
-struct FleetSize {
+struct LiveInstanceCount {
   int m_instances = 1;
 };
 
 /// \brief A broker answers at the leader; it knows nothing of this instance yet.
-struct BrokerFound {
+struct BrokerConnected {
   std::int64_t m_epoch = 0;
 };
 
 /// \brief The connection to the broker is lost.
-struct BrokerLost {};
+struct BrokerDisconnected {};
 
 /// \brief The broker's answers to place requests.
-struct PlacesAnswered {
+struct SlotResponses {
   std::int64_t m_epoch = 0;
   std::vector<SlotResponse> m_answers;
   /// All data centres that it holds to be lost or cut off; unset: no news of it.
@@ -56,24 +56,24 @@
 };
 
 /// \brief From the control task to the forwarder.
-using FleetMessage = std::variant<NewDocument,
-                                  ServersChanged,
-                                  EvacuationsChanged,
-                                  ConfirmedUntil,
-                                  FleetSize,
-                                  BrokerFound,
-                                  BrokerLost,
-                                  PlacesAnswered>;
+using ForwarderMessage = std::variant<NewDocument,
+                                      ServersChanged,
+                                      EvacuationsChanged,
+                                      ConfirmedUntil,
+                                      LiveInstanceCount,
+                                      BrokerConnected,
+                                      BrokerDisconnected,
+                                      SlotResponses>;
 
 /// \brief How the control task of a hosted instance reaches its forwarder; both on one thread.
 struct ForwarderPort {
-  std::function<void(FleetMessage)> m_send;
+  std::function<void(ForwarderMessage)> m_send;
 };
 
 /// \brief How the forwarder reaches the broker, through the control task; both on one thread.
 struct BrokerPort {
   std::function<void(SlotBatch)> m_send;
-  std::function<void()> m_silent;  ///< The broker doesn't answer: it is to be found anew.
+  std::function<void()> m_on_unresponsive;  ///< The broker doesn't answer: it is to be found anew.
 };
 
 }  // namespace poppyway
--- a/packages/forward/include/poppyway/forward/impl/forwarding.h
+++ b/packages/forward/include/poppyway/forward/impl/forwarding.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "poppyway/forward/impl/backend_call.h"
-#include "poppyway/forward/impl/dialect.h"
 #include "poppyway/forward/impl/event_stream.h"
+#include "poppyway/forward/impl/protocol_adapter.h"
 #include "poppyway/http.h"
 
 namespace poppyway {
@@ -95,10 +95,10 @@
   std::string m_server;                  ///< Its id; empty: none.
   std::int64_t m_server_started_ms = 0;  ///< Of the life of that server that the call went to.
   std::unique_ptr<BackendCall> m_call;
-  ServerAnswer m_answer;
+  ServerResponse m_answer;
   bool m_headed = false;   ///< Its head has come.
   std::string m_buffered;  ///< Its body, while the caller has had nothing.
-  EventStream m_events;
+  EventStreamParser m_events;
   Instant m_dispatched{};
   Instant m_heard{};        ///< Its last byte.
   Instant m_first_event{};  ///< Of the call.
--- a/packages/forward/include/poppyway/forward/impl/dialect.h
+++ b/packages/forward/include/poppyway/forward/impl/protocol_adapter.h
@@ -25,9 +25,9 @@
 
 /// \brief What a caller's header fields say, decoded once.
 struct CallerRequest {
-  std::string m_id;                    ///< The caller's own name for this attempt.
-  std::string m_key;                   ///< Empty: none was sent.
-  std::optional<Duration> m_patience;  ///< How long the caller waits, from now on.
+  std::string m_id;                   ///< The caller's own name for this attempt.
+  std::string m_key;                  ///< Empty: none was sent.
+  std::optional<Duration> m_timeout;  ///< How long the caller waits, from now on.
   std::int64_t m_prompt_tokens = 0;
   std::int64_t m_most_tokens = 0;      ///< That it may generate.
   std::int64_t m_expected_tokens = 0;  ///< That the caller expects; often far off. Zero: not told.
@@ -48,7 +48,7 @@
 };
 
 /// \brief What the head of a backend server's answer says, decoded once.
-struct ServerAnswer {
+struct ServerResponse {
   int m_status = 0;
   std::optional<std::string> m_id;  ///< Of the request that it answers, if it names one.
   bool m_signed = false;            ///< Carries the server's signature.
@@ -64,15 +64,15 @@
   std::string m_unreadable;      ///< Name of a field whose value can't be read; empty: none.
   std::vector<Field> m_relayed;  ///< What the caller gets unchanged.
 
-  friend bool operator==(const ServerAnswer&, const ServerAnswer&) = default;
+  friend bool operator==(const ServerResponse&, const ServerResponse&) = default;
 };
 
 /// \brief How a deployment speaks: pure functions between its formats and our types. Nothing else
 /// knows its names.
-struct Dialect {
+struct ProtocolAdapter {
   std::function<CallerRequest(std::vector<Field> fields)> m_decode_request;
   std::function<std::vector<Field>(const DispatchFields&)> m_encode_dispatch;
-  std::function<ServerAnswer(int status, std::vector<Field> fields)> m_decode_answer;
+  std::function<ServerResponse(int status, std::vector<Field> fields)> m_decode_response;
   std::function<Result<RouteTable>(std::int64_t version, std::string_view document)>
       m_decode_document;
 };
--- a/packages/forward/src/backend_call.cc
+++ b/packages/forward/src/backend_call.cc
@@ -56,7 +56,7 @@
   Instant m_until{};
 };
 
-BackendPool::BackendPool(TaskLoop& loop)
+BackendPool::BackendPool(EventLoop& loop)
     : m_loop(loop), m_connect_limit{}, m_at_once{}, m_expiry(loop, kExpiryMillis, [this] {
         Expire();
       }) {
@@ -225,7 +225,7 @@
     return;
   }
   self->m_connect_time = ReadClock() - self->m_connect_begun;
-  LimitSilence(h2o_socket_get_fd(socket), kSilence);
+  SetDeadPeerTimeout(h2o_socket_get_fd(socket), kSilence);
   if (!self->m_silent && self->m_events.m_may_send())
     self->Send();
   else
@@ -385,7 +385,7 @@
   if (m_silent)
     return;
   m_silent = true;
-  const auto on_whole = std::move(m_events.m_on_whole);
+  const auto on_whole = std::move(m_events.m_on_complete);
   on_whole();
 }
 
--- a/packages/forward/src/broker_link.cc
+++ b/packages/forward/src/broker_link.cc
@@ -265,7 +265,7 @@
   FlushToBroker(state);
 }
 
-void TakeAnswers(ForwarderState& state, const PlacesAnswered& message) {
+void TakeAnswers(ForwarderState& state, const SlotResponses& message) {
   BrokerLink& link = state.m_broker;
   if (!link.m_active || message.m_epoch != link.m_epoch)
     return;
@@ -286,7 +286,7 @@
   }
 }
 
-void OnBrokerFound(ForwarderState& state, const BrokerFound& message) {
+void OnBrokerFound(ForwarderState& state, const BrokerConnected& message) {
   BrokerLink& link = state.m_broker;
   const Instant now = ReadClock();
   link.m_active = true;
@@ -336,8 +336,8 @@
     if (now - link.m_quiet_since < kBrokerSilence)
       return;
     OnBrokerLost(state, "silent");
-    if (link.m_port.m_silent)
-      link.m_port.m_silent();
+    if (link.m_port.m_on_unresponsive)
+      link.m_port.m_on_unresponsive();
     return;
   }
   const bool silent =
--- a/packages/forward/src/chain.cc
+++ b/packages/forward/src/chain.cc
@@ -48,7 +48,7 @@
 }
 
 Step CheckStop(ForwarderState& state, Forwarding& forwarding) {
-  if (!state.m_stopping || forwarding.m_arrived - state.m_stop_begun <= kServeWhileStopping)
+  if (!state.m_stopping || forwarding.m_arrived - state.m_shutdown_started <= kServeWhileStopping)
     return Step::kContinue;
   if (forwarding.m_deadline < StopEnd(state))
     return Step::kContinue;
@@ -68,9 +68,9 @@
   const Route& route = *forwarding.m_route;
   forwarding.m_tier = route.m_tier;
   forwarding.m_deadline = forwarding.m_arrived + route.m_timeout;
-  if (forwarding.m_request.m_patience)
+  if (forwarding.m_request.m_timeout)
     forwarding.m_deadline =
-        std::min(forwarding.m_deadline, forwarding.m_arrived + *forwarding.m_request.m_patience);
+        std::min(forwarding.m_deadline, forwarding.m_arrived + *forwarding.m_request.m_timeout);
   return Step::kContinue;
 }
 
--- a/packages/forward/src/dispatch.cc
+++ b/packages/forward/src/dispatch.cc
@@ -93,15 +93,15 @@
   if (forwarding.m_workspace != nullptr)
     fields.m_workspace = forwarding.m_workspace->m_name;
   fields.m_left = forwarding.m_deadline - now;
-  fields.m_resume_after =
-      forwarding.m_events.m_last ? forwarding.m_events.m_last : forwarding.m_request.m_resume_after;
+  fields.m_resume_after = forwarding.m_events.m_last_id ? forwarding.m_events.m_last_id
+                                                        : forwarding.m_request.m_resume_after;
   CallEvents events;
   events.m_may_send = [&state, ref] { return OnMaySend(state, ref); };
   events.m_on_head = [&state, ref](int status, std::vector<Field> head) {
     return OnHead(state, ref, status, std::move(head));
   };
   events.m_on_data = [&state, ref](std::string_view bytes) { OnData(state, ref, bytes); };
-  events.m_on_whole = [&state, ref] { OnWhole(state, ref); };
+  events.m_on_complete = [&state, ref] { OnWhole(state, ref); };
   events.m_on_fault = [&state, ref](CallFault fault) { OnFault(state, ref, fault); };
   const bool careful = forwarding.m_route->m_repeat == Repeat::kNever;
   POPPYWAY_LOG(debug, "dispatch")
@@ -112,7 +112,7 @@
       .Field("forecast_ms", forwarding.m_forecast.count() / 1000);
   forwarding.m_call = std::make_unique<BackendCall>(
       *state.m_connections, backend.m_place,
-      BuildRequest(forwarding, state.m_dialect.m_encode_dispatch(fields)),
+      BuildRequest(forwarding, state.m_adapter.m_encode_dispatch(fields)),
       forwarding.m_method == "HEAD", careful, std::move(events));
 }
 
--- a/packages/forward/src/event_stream.cc
+++ b/packages/forward/src/event_stream.cc
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-std::string TakeEvents(EventStream& stream, std::string_view bytes) {
+std::string ExtractEvents(EventStreamParser& stream, std::string_view bytes) {
   std::string whole;
   if (stream.m_out_of_order)
     return whole;
@@ -44,12 +44,12 @@
     const std::size_t after = end + kEventEnd.size();
     const std::string_view event = std::string_view(stream.m_partial).substr(begin, after - begin);
     const std::optional<std::int64_t> id = IdOf(event);
-    if (id && stream.m_last && *id != *stream.m_last + 1) {
+    if (id && stream.m_last_id && *id != *stream.m_last_id + 1) {
       stream.m_out_of_order = true;
       break;
     }
     if (id)
-      stream.m_last = id;
+      stream.m_last_id = id;
     ++stream.m_events;
     whole += event;
     begin = after;
--- a/packages/forward/src/finish.cc
+++ b/packages/forward/src/finish.cc
@@ -55,7 +55,7 @@
   const bool first = forwarding.m_first_sent != Instant{};
   POPPYWAY_LOG(info, "request")
       .Field("request", forwarding.m_request.m_id)
-      .Field("code", Describe(code).m_name)
+      .Field("code", ResultInfoOf(code).m_name)
       .Field("why", why)
       .Field("status", forwarding.m_status)
       .Field("route", forwarding.m_route == nullptr ? "-" : forwarding.m_route->m_name)
@@ -97,7 +97,7 @@
 }
 
 void Refuse(ForwarderState& state, Forwarding& forwarding, ResultCode code, std::string_view why) {
-  const ResultInfo& info = Describe(code);
+  const ResultInfo& info = ResultInfoOf(code);
   CallerSide& caller = forwarding.m_caller;
   if (caller.m_req != nullptr && !caller.m_started) {
     h2o_req_t* req = caller.m_req;
@@ -129,7 +129,7 @@
     state.m_metrics.Record("poppyway_forward_seconds", tier, ReadClock() - forwarding.m_arrived);
   } else {
     state.m_metrics.Add("poppyway_forward_refusals_total",
-                        TierAndReason(forwarding.m_tier, Describe(code).m_name));
+                        TierAndReason(forwarding.m_tier, ResultInfoOf(code).m_name));
   }
   LogEnd(state, forwarding, code, why);
   EndCall(state, forwarding);
--- a/packages/forward/src/forwarder.cc
+++ b/packages/forward/src/forwarder.cc
@@ -41,7 +41,7 @@
     fields.push_back({std::string(field.name->base, field.name->len),
                       std::string(field.value.base, field.value.len)});
   }
-  forwarding.m_request = state.m_dialect.m_decode_request(std::move(fields));
+  forwarding.m_request = state.m_adapter.m_decode_request(std::move(fields));
 }
 
 /// Ends what its caller left behind.
@@ -103,7 +103,7 @@
     if (m_state.m_table && document.version <= m_state.m_table->m_version)
       return;
     const Instant begun = ReadClock();
-    Result<RouteTable> table = m_state.m_dialect.m_decode_document(document.version, document.body);
+    Result<RouteTable> table = m_state.m_adapter.m_decode_document(document.version, document.body);
     if (!table) {
       POPPYWAY_LOG(error, "configuration_unusable")
           .Field("version", document.version)
@@ -133,27 +133,27 @@
     m_state.m_confirmed_until = std::max(m_state.m_confirmed_until, message.m_until);
     impl::EndStart(m_state);
   }
-  void operator()(const FleetSize& message) const {
+  void operator()(const LiveInstanceCount& message) const {
     m_state.m_instances = CountInstances(m_state.m_instances, message.m_instances,
-                                         m_state.m_settings.m_unconfirmed_limit, ReadClock());
+                                         m_state.m_settings.m_max_config_staleness, ReadClock());
   }
-  void operator()(const BrokerFound& message) const { impl::OnBrokerFound(m_state, message); }
-  void operator()(const BrokerLost& /*message*/) const {
+  void operator()(const BrokerConnected& message) const { impl::OnBrokerFound(m_state, message); }
+  void operator()(const BrokerDisconnected& /*message*/) const {
     impl::OnBrokerLost(m_state, "connection_lost");
   }
-  void operator()(const PlacesAnswered& message) const { impl::TakeAnswers(m_state, message); }
+  void operator()(const SlotResponses& message) const { impl::TakeAnswers(m_state, message); }
 };
 
 }  // namespace
 
 Instant impl::StopEnd(const ForwarderState& state) noexcept {
-  return state.m_stop_begun + state.m_settings.m_stop_limit - kStopMargin;
+  return state.m_shutdown_started + state.m_settings.m_shutdown_timeout - kStopMargin;
 }
 
-Forwarder::Forwarder(TaskLoop& loop, const ForwarderSettings& settings, Dialect dialect)
+Forwarder::Forwarder(EventLoop& loop, const ForwarderSettings& settings, ProtocolAdapter adapter)
     : m_loop(loop) {
   m_state.m_settings = settings;
-  m_state.m_dialect = std::move(dialect);
+  m_state.m_adapter = std::move(adapter);
   m_state.m_random.seed(Hash(settings.m_instance) ^
                         static_cast<std::uint64_t>(ReadClock().time_since_epoch().count()));
   m_state.m_connections = std::make_unique<BackendPool>(loop);
@@ -176,9 +176,9 @@
 Result<void> Forwarder::Listen() {
   const ForwarderSettings& settings = m_state.m_settings;
   const std::pair<HttpServer*, const Endpoint*> listeners[] = {
-      {m_callers.get(), &settings.m_callers},
-      {m_readiness.get(), &settings.m_readiness},
-      {m_metrics.get(), &settings.m_metrics}};
+      {m_callers.get(), &settings.m_caller_endpoint},
+      {m_readiness.get(), &settings.m_readiness_endpoint},
+      {m_metrics.get(), &settings.m_metrics_endpoint}};
   for (const auto& [server, place] : listeners) {
     if (place->m_port == 0)
       continue;
@@ -188,22 +188,22 @@
   return {};
 }
 
-void Forwarder::Take(FleetMessage message) {
+void Forwarder::HandleMessage(ForwarderMessage message) {
   std::visit(Visitor{m_state}, message);
 }
 
-void Forwarder::BeginStop() {
+void Forwarder::BeginShutdown() {
   if (m_state.m_stopping)
     return;
   m_state.m_stopping = true;
-  m_state.m_stop_begun = ReadClock();
+  m_state.m_shutdown_started = ReadClock();
   POPPYWAY_LOG(info, "stop_begun").Field("in_progress", m_state.m_forwardings.size());
 }
 
-bool Forwarder::Stopped() const {
+bool Forwarder::ShutdownComplete() const {
   if (!m_state.m_stopping)
     return false;
-  const Duration since = ReadClock() - m_state.m_stop_begun;
+  const Duration since = ReadClock() - m_state.m_shutdown_started;
   const bool idle = since >= kStopAtLeast && m_state.m_forwardings.empty();
   return idle || ReadClock() >= impl::StopEnd(m_state);
 }
@@ -239,8 +239,8 @@
                         static_cast<double>(m_state.m_connections->opened()));
   impl::CountEvacuated(m_state);
   MetricSet more;
-  if (m_more_metrics)
-    m_more_metrics(more);
+  if (m_extra_metrics)
+    m_extra_metrics(more);
   ReplyWhole(req, 200, "text/plain; version=0.0.4", m_state.m_metrics.Text() + more.Text());
 }
 
--- a/packages/forward/src/relay.cc
+++ b/packages/forward/src/relay.cc
@@ -44,7 +44,7 @@
       .Field("server", forwarding.m_server)
       .Field("why", why)
       .Field("attempt", forwarding.m_reached)
-      .Field("resume_after", forwarding.m_events.m_last.value_or(-1));
+      .Field("resume_after", forwarding.m_events.m_last_id.value_or(-1));
   EndCall(state, forwarding);
   // A run that may have happened is paid for; the next one is paid for anew.
   forwarding.m_charged_without_broker =
@@ -95,7 +95,7 @@
 
 void OnEvents(ForwarderState& state, Forwarding& forwarding, std::string_view bytes) {
   const std::int64_t before = forwarding.m_events.m_events;
-  const std::string whole = TakeEvents(forwarding.m_events, bytes);
+  const std::string whole = ExtractEvents(forwarding.m_events, bytes);
   const std::int64_t added = forwarding.m_events.m_events - before;
   const Instant now = ReadClock();
   if (added > 0 && forwarding.m_call_events == 0)
@@ -172,7 +172,7 @@
   Forwarding* forwarding = Find(state, ref);
   if (forwarding == nullptr || forwarding->m_stage == ForwardingStage::kDone)
     return HeadVerdict::kTake;
-  ServerAnswer answer = state.m_dialect.m_decode_answer(status, std::move(fields));
+  ServerResponse answer = state.m_adapter.m_decode_response(status, std::move(fields));
   TakeServerWord(state, *forwarding, answer);
   if (answer.m_id && *answer.m_id != forwarding->m_request.m_id) {
     state.m_metrics.Add("poppyway_answers_crossed_total");
--- a/packages/forward/src/server_notice.cc
+++ b/packages/forward/src/server_notice.cc
@@ -78,7 +78,7 @@
 
 void TakeServerWord(ForwarderState& state,
                     const Forwarding& forwarding,
-                    const ServerAnswer& answer) {
+                    const ServerResponse& answer) {
   if (!answer.m_unreadable.empty())
     NoteUnreadable(state, forwarding, answer.m_unreadable);
   if (!answer.m_leaving && !answer.m_back_off)
--- a/packages/forward/src/start.cc
+++ b/packages/forward/src/start.cc
@@ -17,7 +17,7 @@
 constexpr std::size_t kMostAwaiting = 512;  // Bounds the memory of a herd of callers.
 
 Duration StartWait(const Forwarding& forwarding) {
-  const Duration patience = forwarding.m_request.m_patience.value_or(Duration(0));
+  const Duration patience = forwarding.m_request.m_timeout.value_or(Duration(0));
   const auto share =
       static_cast<std::int64_t>(kStartWaitShare * static_cast<double>(patience.count()));
   return std::min(kMostStartWait, Duration(share));
--- a/packages/forward/src/steps.h
+++ b/packages/forward/src/steps.h
@@ -64,9 +64,9 @@
 void AskBroker(ForwarderState& state, Forwarding& forwarding);
 /// The request no longer awaits the broker's answer, if it did.
 void WithdrawAsk(ForwarderState& state, Forwarding& forwarding);
-void TakeAnswers(ForwarderState& state, const PlacesAnswered& message);
+void TakeAnswers(ForwarderState& state, const SlotResponses& message);
 /// Tells the broker all that it has to know of this instance, and asks for all that waits.
-void OnBrokerFound(ForwarderState& state, const BrokerFound& message);
+void OnBrokerFound(ForwarderState& state, const BrokerConnected& message);
 /// Decides alone from now on.
 void OnBrokerLost(ForwarderState& state, std::string_view why);
 /// True while a place request has gone without an answer for too long: this instance decides.
@@ -131,7 +131,7 @@
 /// broker.
 void TakeServerWord(ForwarderState& state,
                     const Forwarding& forwarding,
-                    const ServerAnswer& answer);
+                    const ServerResponse& answer);
 /// All that servers have said and that still holds, for a broker that knows nothing of it.
 [[nodiscard]] std::vector<ServerNotice> WordsInForce(const ForwarderState& state, Instant now);
 /// When the first of the servers that could serve the request wants something again, if all of them
--- a/packages/gateway/include/poppyway/gateway/impl/control_messages.h
+++ b/packages/gateway/include/poppyway/gateway/impl/control_messages.h
@@ -34,7 +34,7 @@
   GatewayDemand m_demand;
 };
 
-/// \brief All requests of this gateway have ended after `BeginStop`.
+/// \brief All requests of this gateway have ended after `BeginShutdown`.
 struct Drained {};
 
 using GatewayMessage = std::variant<ClaimKey, FinishKey, SendDemand, Drained>;
@@ -75,7 +75,7 @@
 };
 
 /// \brief A planned stop begins: not ready, refuse new requests after the balancer's lag, drain.
-struct BeginStop {};
+struct BeginShutdown {};
 
 /// \brief Text of the control task's metrics for /metrics.
 struct ControlMetrics {
@@ -88,7 +88,7 @@
                                     BrokerChanged,
                                     LeavingServers,
                                     SetFresh,
-                                    BeginStop,
+                                    BeginShutdown,
                                     ControlMetrics>;
 
 }  // namespace poppyway
--- a/packages/gateway/include/poppyway/gateway/impl/gateway.h
+++ b/packages/gateway/include/poppyway/gateway/impl/gateway.h
@@ -46,7 +46,7 @@
 class Gateway {
  public:
   /// \param to_control takes messages for the control task; must not block.
-  Gateway(TaskLoop& loop,
+  Gateway(EventLoop& loop,
           const DaemonSettings& settings,
           std::string incarnation,
           std::function<void(GatewayMessage)> to_control);
@@ -54,13 +54,13 @@
   /// Listens for callers.
   [[nodiscard]] Result<void> Listen();
   /// Takes one message of the control task.
-  void Take(ControlMessage message);
+  void HandleMessage(ControlMessage message);
   [[nodiscard]] GatewayState& state() noexcept { return m_state; }
 
  private:
   void OnRequest(h2o_req_t* req);
 
-  TaskLoop& m_loop;
+  EventLoop& m_loop;
   GatewayState m_state;
   std::unique_ptr<HttpServer> m_server;
   std::unique_ptr<RepeatingTimer> m_tick;
--- a/packages/gateway/include/poppyway/gateway/impl/upstream.h
+++ b/packages/gateway/include/poppyway/gateway/impl/upstream.h
@@ -29,7 +29,7 @@
   std::function<void(const UpstreamHead&)> m_on_head;
   std::function<void(std::string_view)> m_on_data;
   /// The answer arrived whole, as its framing says.
-  std::function<void()> m_on_whole;
+  std::function<void()> m_on_complete;
   /// It failed; `sent` tells whether a byte was written.
   std::function<void(bool sent, const std::string& why)> m_on_failure;
 };
@@ -37,12 +37,12 @@
 /// \brief Pools of connections to back ends, by endpoint.
 class UpstreamPools {
  public:
-  explicit UpstreamPools(TaskLoop& loop);
+  explicit UpstreamPools(EventLoop& loop);
   [[nodiscard]] h2o_socketpool_t* Get(const Endpoint& endpoint);
   [[nodiscard]] h2o_http1client_ctx_t* context() noexcept { return &m_context; }
 
  private:
-  TaskLoop& m_loop;
+  EventLoop& m_loop;
   h2o_timeout_t m_io_timeout;
   h2o_multithread_receiver_t m_resolver;
   h2o_http1client_ctx_t m_context;
--- a/packages/gateway/src/account.cc
+++ b/packages/gateway/src/account.cc
@@ -39,7 +39,7 @@
   finish.key = exchange.m_key;
   finish.owner = state.m_incarnation;
   finish.ref = exchange.m_ref;
-  switch (Describe(code).m_run) {
+  switch (ResultInfoOf(code).m_run) {
     case RunState::kNotRun:
       finish.kind = wire::FinishKind::NOT_RUN;
       break;
@@ -62,7 +62,7 @@
   if (!sent || !exchange.m_model_call || code == ResultCode::kOk)
     return;
   state.m_metrics.Add("poppyway_wasted_prefill_tokens_total",
-                      "cause=\"" + std::string(Describe(code).m_name) + "\"",
+                      "cause=\"" + std::string(ResultInfoOf(code).m_name) + "\"",
                       static_cast<std::uint64_t>(exchange.m_prompt_tokens));
 }
 
@@ -70,7 +70,7 @@
   const auto millis = [](Duration d) { return d.count() / 1000; };
   POPPYWAY_LOG(info, "request")
       .Field("request", exchange.m_id)
-      .Field("code", Describe(code).m_name)
+      .Field("code", ResultInfoOf(code).m_name)
       .Field("event_name", exchange.m_event == nullptr ? "-" : exchange.m_event->m_name)
       .Field("tier", TierOf(exchange))
       .Field("workspace", exchange.m_workspace)
@@ -95,7 +95,7 @@
     if (exchange.m_dispatched != Instant{})
       LearnService(PoolOf(state, exchange), exchange.m_event->m_name, now - exchange.m_dispatched);
   } else {
-    state.m_metrics.Add("poppyway_refusals_total", TierAndReason(tier, Describe(code).m_name));
+    state.m_metrics.Add("poppyway_refusals_total", TierAndReason(tier, ResultInfoOf(code).m_name));
   }
   CountWastedPrefill(state, exchange, code);
   Log(exchange, code);
--- a/packages/gateway/src/answer.cc
+++ b/packages/gateway/src/answer.cc
@@ -66,7 +66,7 @@
 
 void Refuse(GatewayState& state, Exchange& exchange, ResultCode code, const std::string& detail) {
   const RequestRef ref = exchange.m_ref;
-  const ResultInfo& info = Describe(code);
+  const ResultInfo& info = ResultInfoOf(code);
   if (exchange.m_caller.m_req != nullptr && exchange.m_caller.m_started) {
     AbortAnswer(exchange.m_caller);
   } else if (exchange.m_caller.m_req != nullptr) {
--- a/packages/gateway/src/dispatch.cc
+++ b/packages/gateway/src/dispatch.cc
@@ -51,7 +51,7 @@
   events.m_may_send = [&state, ref] { return OnMaySend(state, ref); };
   events.m_on_head = [&state, ref](const UpstreamHead& head) { OnBackendHead(state, ref, head); };
   events.m_on_data = [&state, ref](std::string_view bytes) { OnBackendData(state, ref, bytes); };
-  events.m_on_whole = [&state, ref] { OnBackendWhole(state, ref); };
+  events.m_on_complete = [&state, ref] { OnBackendWhole(state, ref); };
   events.m_on_failure = [&state, ref](bool sent, const std::string& why) {
     OnBackendFailure(state, ref, sent, why);
   };
--- a/packages/gateway/src/gateway.cc
+++ b/packages/gateway/src/gateway.cc
@@ -185,7 +185,7 @@
     m_state.m_eligible.clear();
   }
   void operator()(const SetFresh& message) const { m_state.m_fresh = message.m_fresh; }
-  void operator()(const BeginStop&) const {
+  void operator()(const BeginShutdown&) const {
     if (m_state.m_stopping)
       return;
     m_state.m_stopping = true;
@@ -200,7 +200,7 @@
 
 }  // namespace
 
-Gateway::Gateway(TaskLoop& loop,
+Gateway::Gateway(EventLoop& loop,
                  const DaemonSettings& settings,
                  std::string incarnation,
                  std::function<void(GatewayMessage)> to_control)
@@ -224,7 +224,7 @@
   return m_server->Listen(where.m_address, where.m_port);
 }
 
-void Gateway::Take(ControlMessage message) {
+void Gateway::HandleMessage(ControlMessage message) {
   std::visit(Visitor{m_state}, message);
 }
 
--- a/packages/gateway/src/upstream.cc
+++ b/packages/gateway/src/upstream.cc
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-UpstreamPools::UpstreamPools(TaskLoop& loop) : m_loop(loop), m_context{} {
+UpstreamPools::UpstreamPools(EventLoop& loop) : m_loop(loop), m_context{} {
   h2o_timeout_init(loop.loop(), &m_io_timeout, kIoTimeoutMillis);
   h2o_multithread_register_receiver(loop.queue(), &m_resolver, h2o_hostinfo_getaddr_receiver);
   m_context.loop = loop.loop();
@@ -68,7 +68,7 @@
     return;
   // The handler may destroy this object: nothing of it is touched afterwards.
   if (why == nullptr) {
-    const auto on_whole = m_events.m_on_whole;
+    const auto on_whole = m_events.m_on_complete;
     on_whole();
     return;
   }
--- a/packages/http/include/poppyway/http/impl/http_server.h
+++ b/packages/http/include/poppyway/http/impl/http_server.h
@@ -29,7 +29,7 @@
  public:
   using Handler = std::function<void(h2o_req_t*)>;
 
-  HttpServer(TaskLoop& loop, const HttpLimits& limits, Handler handler);
+  HttpServer(EventLoop& loop, const HttpLimits& limits, Handler handler);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
@@ -47,7 +47,7 @@
   static int OnRequest(h2o_handler_t* handler, h2o_req_t* req);
   static void OnAccept(h2o_socket_t* listener, const char* fault);
 
-  TaskLoop& m_loop;
+  EventLoop& m_loop;
   Handler m_handler;
   h2o_globalconf_t m_global{};
   h2o_context_t m_context{};
--- a/packages/http/src/http_server.cc
+++ b/packages/http/src/http_server.cc
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-HttpServer::HttpServer(TaskLoop& loop, const HttpLimits& limits, Handler handler)
+HttpServer::HttpServer(EventLoop& loop, const HttpLimits& limits, Handler handler)
     : m_loop(loop), m_handler(std::move(handler)) {
   h2o_config_init(&m_global);
   m_global.max_request_entity_size = limits.m_max_body;
@@ -58,7 +58,7 @@
     h2o_socket_t* socket = h2o_evloop_socket_accept(listener);
     if (socket == nullptr)
       return;
-    LimitSilence(h2o_socket_get_fd(socket), kCallerSilence);
+    SetDeadPeerTimeout(h2o_socket_get_fd(socket), kCallerSilence);
     h2o_accept(&self->m_accept, socket);
   }
 }
--- a/packages/log/include/poppyway/log/impl/log_node.h
+++ b/packages/log/include/poppyway/log/impl/log_node.h
@@ -50,7 +50,7 @@
   std::mt19937_64 m_random;
 
   // Durable.
-  wire::HardState m_hard;
+  wire::HardState m_hard_state;
   std::int64_t m_snapshot_index = 0;
   std::int64_t m_snapshot_term = 0;
   wire::Membership m_snapshot_membership;
@@ -60,18 +60,18 @@
   // What of that is durable.
   std::int64_t m_saved = 0;  ///< Last index up to which the log is durable as it stands.
   wire::HardState m_saved_hard;
-  bool m_save_under_way = false;
+  bool m_save_in_progress = false;
   std::int64_t m_saving = 0;  ///< What `m_saved` will be once the save under way has ended.
   wire::HardState m_saving_hard;
 
   // Volatile.
   wire::Membership m_membership;  ///< The latest in the log, committed or not.
   std::int64_t m_membership_index = 0;
-  std::int64_t m_commit = 0;
+  std::int64_t m_commit_index = 0;
   std::int64_t m_handed_out = 0;  ///< Last index given to the caller to apply.
   Role m_role = Role::kFollower;
   MemberId m_leader = 0;
-  Instant m_leader_heard{};
+  Instant m_last_leader_contact{};
   Instant m_election_due{};
   Instant m_heartbeat_due{};
   std::int64_t m_term_start = 0;  ///< Index of a leader's first entry of its term.
@@ -79,7 +79,7 @@
   std::map<MemberId, Progress> m_progress;
 };
 
-/// \brief What the caller has to do: make durable, send what `MaySend` allows, apply.
+/// \brief What the caller has to do: make durable, send what `IsSafeToSend` allows, apply.
 struct LogEffects {
   bool m_save_hard = false;
   std::optional<std::int64_t> m_truncate_after;  ///< Drop stored entries after this index first.
@@ -114,32 +114,34 @@
 
 /// \brief Notes that all effects up to now are being made durable. Precondition: no other save is
 /// under way.
-void BeforeSync(LogNode& node);
+void BeginLogSave(LogNode& node);
 
-/// \brief Notes that what `BeforeSync` was called for is durable: a leader counts its own log for
+/// \brief Notes that what `BeginLogSave` was called for is durable: a leader counts its own log for
 /// commitment only from then on.
-[[nodiscard]] LogEffects AfterSync(LogNode& node);
+[[nodiscard]] LogEffects FinishLogSave(LogNode& node);
 
-/// \brief Notes that what `BeforeSync` was called for was refused and is not durable.
-void SaveRefused(LogNode& node);
+/// \brief Notes that what `BeginLogSave` was called for was refused and is not durable.
+void AbortLogSave(LogNode& node);
 
 /// \brief True if a message tells nothing that rests on what isn't durable here yet. One that must
 /// wait is asked about again after the next save.
-[[nodiscard]] bool MaySend(const LogNode& node, const wire::LogMessage& message);
+[[nodiscard]] bool IsSafeToSend(const LogNode& node, const wire::LogMessage& message);
 
 /// \brief Keeps a message that must wait. It takes the place of a waiting answer to the same member
 /// that says no more, so that what waits stays bounded however long a save takes.
-void HoldMessage(std::vector<wire::LogMessage>& held, wire::LogMessage message);
+void DeferMessage(std::vector<wire::LogMessage>& held, wire::LogMessage message);
 
 /// \brief The part of a node that a save writes, for use while the node goes on. Entries are needed
 /// only where a segment begins anew.
-[[nodiscard]] LogNode DurablePart(const LogNode& node, bool with_entries);
+[[nodiscard]] LogNode CopyDurableState(const LogNode& node, bool with_entries);
 
 /// \brief Replaces entries up to `index` by `state`. Precondition: `index` was handed out.
 [[nodiscard]] wire::Snapshot CompactLog(LogNode& node, std::int64_t index, std::string state);
 
 /// \brief Begins the first term of a new cluster on the member that forms it.
-[[nodiscard]] LogEffects FormLog(LogNode& node, const wire::Membership& membership, Instant now);
+[[nodiscard]] LogEffects BootstrapLog(LogNode& node,
+                                      const wire::Membership& membership,
+                                      Instant now);
 
 /// \brief Adds one effect after another.
 void MergeEffects(LogEffects& into, LogEffects&& more);
@@ -150,7 +152,7 @@
 [[nodiscard]] bool IsVoter(const wire::Membership& membership, MemberId id) noexcept;
 [[nodiscard]] const wire::MemberInfo* FindMember(const wire::Membership& membership, MemberId id);
 /// \brief About how many bytes an entry takes on a link: exact for what can be large.
-[[nodiscard]] std::size_t BytesOf(const wire::LogEntry& entry) noexcept;
+[[nodiscard]] std::size_t EntrySizeBytes(const wire::LogEntry& entry) noexcept;
 /// \brief True while a majority of voters answered within the last election timeout.
 [[nodiscard]] bool LeadsWithQuorum(const LogNode& node, Instant now);
 /// \brief True on a leader whose state, with entries up to `applied` in it, holds all that leaders
@@ -161,7 +163,9 @@
 /// followed this leader within the last shortest election timeout, counted from when the append was
 /// sent. Until then no other leader can have committed anything, however long replies were on their
 /// way.
-[[nodiscard]] bool ConfirmedLeader(const LogNode& node, std::int64_t applied, Instant now);
+[[nodiscard]] bool CanServeLinearizableReads(const LogNode& node,
+                                             std::int64_t applied,
+                                             Instant now);
 /// \brief A voter that has been silent for longest and may be removed: another member is ready to
 /// take its place, or the count of voters is even, so that its removal costs no tolerance.
 [[nodiscard]] std::optional<MemberId> RemovableVoter(const LogNode& node, Instant now);
@@ -169,7 +173,7 @@
 /// \brief A membership change for the leader to propose now, if one is due: a member whose folder
 /// was lost is replaced by its new id as a non-voter; a voter that is gone is removed; a caught-up
 /// non-voter becomes a voter. `joining_members` are those that asked to join.
-[[nodiscard]] std::optional<wire::Membership> DueMembership(
+[[nodiscard]] std::optional<wire::Membership> PlanMembershipChange(
     const LogNode& node,
     const std::vector<wire::MemberInfo>& joining_members,
     Instant now);
--- a/packages/log/include/poppyway/log/impl/log_store.h
+++ b/packages/log/include/poppyway/log/impl/log_store.h
@@ -15,8 +15,8 @@
 /// \brief What a data folder held when it was opened.
 struct StoredLog {
   MemberId m_id = 0;
-  bool m_blank = true;  ///< The folder was new: its id was made just now.
-  wire::HardState m_hard;
+  bool m_newly_created = true;  ///< The folder was new: its id was made just now.
+  wire::HardState m_hard_state;
   std::optional<wire::Snapshot> m_snapshot;
   std::vector<wire::LogEntry> m_entries;
   std::size_t m_torn_bytes = 0;  ///< Cut from the end: a write that never finished.
--- a/packages/log/src/formation.cc
+++ b/packages/log/src/cluster_bootstrap.cc
@@ -6,7 +6,7 @@
 
 namespace poppyway {
 
-void NoteHello(Formation& formation, const wire::MemberInfo& member, bool blank) {
+void RecordHello(ClusterBootstrap& formation, const wire::MemberInfo& member, bool blank) {
   if (!blank) {
     formation.m_cluster_exists = true;
     formation.m_blank.erase(member.name);
@@ -15,7 +15,7 @@
   formation.m_blank[member.name] = member;
 }
 
-std::optional<wire::Membership> MayForm(const Formation& formation) {
+std::optional<wire::Membership> BootstrapMembership(const ClusterBootstrap& formation) {
   if (formation.m_cluster_exists)
     return std::nullopt;
   const std::string& lowest = *std::min_element(formation.m_names.begin(), formation.m_names.end());
--- a/packages/log/src/durability.cc
+++ b/packages/log/src/durability.cc
@@ -21,14 +21,14 @@
 
 }  // namespace
 
-void BeforeSync(LogNode& node) {
-  node.m_save_under_way = true;
+void BeginLogSave(LogNode& node) {
+  node.m_save_in_progress = true;
   node.m_saving = LastIndex(node);
-  node.m_saving_hard = node.m_hard;
+  node.m_saving_hard = node.m_hard_state;
 }
 
-LogEffects AfterSync(LogNode& node) {
-  node.m_save_under_way = false;
+LogEffects FinishLogSave(LogNode& node) {
+  node.m_save_in_progress = false;
   node.m_saved = node.m_saving;
   node.m_saved_hard = node.m_saving_hard;
   LogEffects effects;
@@ -37,11 +37,11 @@
   return effects;
 }
 
-void SaveRefused(LogNode& node) {
-  node.m_save_under_way = false;
+void AbortLogSave(LogNode& node) {
+  node.m_save_in_progress = false;
 }
 
-bool MaySend(const LogNode& node, const wire::LogMessage& message) {
+bool IsSafeToSend(const LogNode& node, const wire::LogMessage& message) {
   const wire::LogBody& body = message.body;
   // A vote, one's own or another's, must not be forgotten: it could be given twice in its term.
   const bool vote = (body.__isset.vote && !body.vote.pre) ||
@@ -50,13 +50,13 @@
   // leads rests on its own vote.
   const bool leads = body.__isset.append || body.__isset.snapshot;
   if (vote || leads)
-    return node.m_saved_hard == node.m_hard;
+    return node.m_saved_hard == node.m_hard_state;
   if (PromisesEntries(message))
     return body.append_reply.match <= node.m_saved;
   return true;
 }
 
-void HoldMessage(std::vector<wire::LogMessage>& held, wire::LogMessage message) {
+void DeferMessage(std::vector<wire::LogMessage>& held, wire::LogMessage message) {
   const auto same = std::find_if(held.begin(), held.end(), [&](const wire::LogMessage& before) {
     return SaysNoMore(before, message);
   });
@@ -66,9 +66,9 @@
     held.push_back(std::move(message));
 }
 
-LogNode DurablePart(const LogNode& node, bool with_entries) {
+LogNode CopyDurableState(const LogNode& node, bool with_entries) {
   LogNode part;
-  part.m_hard = node.m_hard;
+  part.m_hard_state = node.m_hard_state;
   part.m_snapshot_index = node.m_snapshot_index;
   if (with_entries)
     part.m_entries = node.m_entries;
--- a/packages/log/src/election.cc
+++ b/packages/log/src/election.cc
@@ -15,7 +15,7 @@
 bool HeardLeader(const LogNode& node, Instant now) {
   if (node.m_role == Role::kLeader)
     return LeadsWithQuorum(node, now);
-  return node.m_leader != 0 && now - node.m_leader_heard < node.m_timing.m_election_min;
+  return node.m_leader != 0 && now - node.m_last_leader_contact < node.m_timing.m_election_min;
 }
 
 }  // namespace
@@ -26,12 +26,12 @@
   node.m_votes = {node.m_id};
   ResetElection(node, now);
   if (!pre) {
-    ++node.m_hard.term;
-    node.m_hard.vote = node.m_id;
+    ++node.m_hard_state.term;
+    node.m_hard_state.vote = node.m_id;
     effects.m_save_hard = true;
   }
   wire::VoteRequest request;
-  request.term = pre ? node.m_hard.term + 1 : node.m_hard.term;
+  request.term = pre ? node.m_hard_state.term + 1 : node.m_hard_state.term;
   request.last_index = LastIndex(node);
   request.last_term = TermAt(node, LastIndex(node));
   request.pre = pre;
@@ -60,20 +60,20 @@
   reply.granted = false;
   // A member that still hears its leader lets nobody disturb it, nor raise its term.
   const bool disturbed = HeardLeader(node, now);
-  if (!request.pre && request.term > node.m_hard.term && !disturbed)
+  if (!request.pre && request.term > node.m_hard_state.term && !disturbed)
     BecomeFollower(node, request.term, 0, effects, now);
   if (!disturbed && UpToDate(node, request)) {
     if (request.pre) {
-      reply.granted = request.term > node.m_hard.term;
-    } else if (request.term == node.m_hard.term &&
-               (node.m_hard.vote == 0 || node.m_hard.vote == from)) {
+      reply.granted = request.term > node.m_hard_state.term;
+    } else if (request.term == node.m_hard_state.term &&
+               (node.m_hard_state.vote == 0 || node.m_hard_state.vote == from)) {
       reply.granted = true;
-      node.m_hard.vote = from;
+      node.m_hard_state.vote = from;
       effects.m_save_hard = true;
       ResetElection(node, now);
     }
   }
-  reply.term = request.pre && reply.granted ? request.term : node.m_hard.term;
+  reply.term = request.pre && reply.granted ? request.term : node.m_hard_state.term;
   wire::LogMessage message = Message(node, from);
   message.body.__set_vote_reply(reply);
   effects.m_send.push_back(std::move(message));
@@ -85,13 +85,14 @@
                  LogEffects& effects,
                  Instant now) {
   if (!reply.granted) {
-    if (reply.term > node.m_hard.term)
+    if (reply.term > node.m_hard_state.term)
       BecomeFollower(node, reply.term, 0, effects, now);
     return;
   }
   const bool pre_vote =
-      node.m_role == Role::kPreCandidate && reply.pre && reply.term == node.m_hard.term + 1;
-  const bool vote = node.m_role == Role::kCandidate && !reply.pre && reply.term == node.m_hard.term;
+      node.m_role == Role::kPreCandidate && reply.pre && reply.term == node.m_hard_state.term + 1;
+  const bool vote =
+      node.m_role == Role::kCandidate && !reply.pre && reply.term == node.m_hard_state.term;
   if ((!pre_vote && !vote) || !IsVoter(node.m_membership, from))
     return;
   node.m_votes.insert(from);
--- a/packages/log/src/log_node.cc
+++ b/packages/log/src/log_node.cc
@@ -20,7 +20,7 @@
   return node.m_entries[static_cast<std::size_t>(index - node.m_snapshot_index - 1)].term;
 }
 
-std::size_t BytesOf(const wire::LogEntry& entry) noexcept {
+std::size_t EntrySizeBytes(const wire::LogEntry& entry) noexcept {
   constexpr std::size_t kSmallCommand = 128;
   const wire::Command& command = entry.command;
   std::size_t bytes = kSmallCommand;
@@ -63,7 +63,7 @@
   return node.m_role == Role::kLeader && applied >= node.m_term_start;
 }
 
-bool ConfirmedLeader(const LogNode& node, std::int64_t applied, Instant now) {
+bool CanServeLinearizableReads(const LogNode& node, std::int64_t applied, Instant now) {
   if (!HoldsAllCommitted(node, applied))
     return false;
   std::size_t confirmed = IsVoter(node.m_membership, node.m_id) ? 1 : 0;
@@ -130,9 +130,9 @@
   if (node.m_election_due == Instant{})
     ResetElection(node, now);
   if (node.m_role == Role::kLeader) {
-    const bool settled = now - node.m_leader_heard > node.m_timing.m_election_max;
+    const bool settled = now - node.m_last_leader_contact > node.m_timing.m_election_max;
     if (settled && !LeadsWithQuorum(node, now)) {
-      BecomeFollower(node, node.m_hard.term, 0, effects, now);
+      BecomeFollower(node, node.m_hard_state.term, 0, effects, now);
       return effects;
     }
     if (now >= node.m_heartbeat_due)
@@ -140,7 +140,7 @@
     return effects;
   }
   // Votes are asked for once its own is durable: the time to get them begins then.
-  if (node.m_role == Role::kCandidate && node.m_saved_hard != node.m_hard)
+  if (node.m_role == Role::kCandidate && node.m_saved_hard != node.m_hard_state)
     ResetElection(node, now);
   if (now >= node.m_election_due && IsVoter(node.m_membership, node.m_id))
     Campaign(node, true, effects, now);
@@ -176,7 +176,7 @@
   for (const wire::Command& command : commands) {
     wire::LogEntry entry;
     entry.index = first + static_cast<std::int64_t>(entries.size());
-    entry.term = node.m_hard.term;
+    entry.term = node.m_hard_state.term;
     entry.command = command;
     entries.push_back(std::move(entry));
   }
@@ -192,7 +192,7 @@
   if (node.m_role != Role::kLeader)
     return Fail(ResultCode::kNotLeader, "this member is not the leader");
   const bool settled =
-      node.m_membership_index <= node.m_commit && node.m_commit >= node.m_term_start;
+      node.m_membership_index <= node.m_commit_index && node.m_commit_index >= node.m_term_start;
   if (!settled)
     return Fail(ResultCode::kVersionConflict, "a membership change is under way");
   wire::Command command;
@@ -220,7 +220,7 @@
 
 void RestoreLog(LogNode& node, const StoredLog& stored) {
   node.m_id = stored.m_id;
-  node.m_hard = stored.m_hard;
+  node.m_hard_state = stored.m_hard_state;
   if (stored.m_snapshot) {
     node.m_snapshot_index = stored.m_snapshot->index;
     node.m_snapshot_term = stored.m_snapshot->term;
@@ -228,17 +228,17 @@
     node.m_snapshot_state = std::make_shared<const std::string>(stored.m_snapshot->state);
   }
   node.m_entries.assign(stored.m_entries.begin(), stored.m_entries.end());
-  node.m_commit = node.m_snapshot_index;
+  node.m_commit_index = node.m_snapshot_index;
   node.m_handed_out = node.m_snapshot_index;
   AdoptMembership(node);
   node.m_saved = LastIndex(node);
-  node.m_saved_hard = node.m_hard;
+  node.m_saved_hard = node.m_hard_state;
 }
 
-LogEffects FormLog(LogNode& node, const wire::Membership& membership, Instant now) {
+LogEffects BootstrapLog(LogNode& node, const wire::Membership& membership, Instant now) {
   LogEffects effects;
-  node.m_hard.term = 1;
-  node.m_hard.vote = node.m_id;
+  node.m_hard_state.term = 1;
+  node.m_hard_state.vote = node.m_id;
   effects.m_save_hard = true;
   wire::LogEntry entry;
   entry.index = 1;
@@ -249,9 +249,10 @@
   return effects;
 }
 
-std::optional<wire::Membership> DueMembership(const LogNode& node,
-                                              const std::vector<wire::MemberInfo>& joining_members,
-                                              Instant now) {
+std::optional<wire::Membership> PlanMembershipChange(
+    const LogNode& node,
+    const std::vector<wire::MemberInfo>& joining_members,
+    Instant now) {
   if (node.m_role != Role::kLeader)
     return std::nullopt;
   wire::Membership next = node.m_membership;
@@ -338,9 +339,9 @@
                     MemberId leader,
                     LogEffects& effects,
                     Instant now) {
-  if (term > node.m_hard.term) {
-    node.m_hard.term = term;
-    node.m_hard.vote = 0;
+  if (term > node.m_hard_state.term) {
+    node.m_hard_state.term = term;
+    node.m_hard_state.vote = 0;
     effects.m_save_hard = true;
   }
   const bool was_follower = node.m_role == Role::kFollower;
@@ -353,7 +354,7 @@
 void BecomeLeader(LogNode& node, LogEffects& effects, Instant now) {
   node.m_role = Role::kLeader;
   node.m_leader = node.m_id;
-  node.m_leader_heard = now;  // For a leader: when it took over.
+  node.m_last_leader_contact = now;  // For a leader: when it took over.
   node.m_progress.clear();
   for (const wire::MemberInfo& member : node.m_membership.members) {
     if (member.id != node.m_id)
@@ -362,7 +363,7 @@
   node.m_term_start = LastIndex(node) + 1;
   wire::LogEntry entry;
   entry.index = node.m_term_start;
-  entry.term = node.m_hard.term;
+  entry.term = node.m_hard_state.term;
   entry.command.__set_noop(true);
   AppendLocal(node, {entry}, effects);
   SendAppends(node, effects, now);
@@ -370,7 +371,7 @@
 
 void HandOut(LogNode& node, LogEffects& effects) {
   node.m_handed_out = std::max(node.m_handed_out, node.m_snapshot_index);
-  while (node.m_handed_out < node.m_commit) {
+  while (node.m_handed_out < node.m_commit_index) {
     ++node.m_handed_out;
     const auto at = static_cast<std::size_t>(node.m_handed_out - node.m_snapshot_index - 1);
     effects.m_committed.push_back(node.m_entries[at]);
@@ -394,8 +395,8 @@
     return;
   std::sort(matches.rbegin(), matches.rend());
   const std::int64_t index = matches[majority - 1];
-  if (index > node.m_commit && TermAt(node, index) == node.m_hard.term)
-    node.m_commit = index;
+  if (index > node.m_commit_index && TermAt(node, index) == node.m_hard_state.term)
+    node.m_commit_index = index;
   HandOut(node, effects);
 }
 
--- a/packages/log/src/log_store.cc
+++ b/packages/log/src/log_store.cc
@@ -129,7 +129,7 @@
       Result<wire::HardState> hard = Deserialize<wire::HardState>(record.m_payload);
       if (!hard)
         return tl::unexpected<Error>(hard.error());
-      stored.m_hard = *hard;
+      stored.m_hard_state = *hard;
       return {};
     }
     case RecordType::kTruncate: {
@@ -222,7 +222,7 @@
   }
   if (Result<void> checked = CheckIdentity(folder, cluster, stored); !checked)
     return tl::unexpected<Error>(checked.error());
-  stored.m_blank = blank;
+  stored.m_newly_created = blank;
   if (segments.empty()) {
     LogNode empty;
     if (Result<void> begun = store->BeginSegment(empty); !begun)
@@ -265,7 +265,7 @@
     return SaveSnapshot(node, *effects.m_install);
   std::string bytes;
   if (effects.m_save_hard)
-    AppendRecord(bytes, RecordType::kHardState, Serialize(node.m_hard));
+    AppendRecord(bytes, RecordType::kHardState, Serialize(node.m_hard_state));
   if (effects.m_truncate_after)
     AppendRecord(bytes, RecordType::kTruncate, NumberBytes(*effects.m_truncate_after));
   for (const wire::LogEntry& entry : effects.m_append)
@@ -300,7 +300,7 @@
 Result<void> LogStore::BeginSegment(const LogNode& node) {
   std::string bytes;
   AppendRecord(bytes, RecordType::kBase, NumberBytes(node.m_snapshot_index));
-  AppendRecord(bytes, RecordType::kHardState, Serialize(node.m_hard));
+  AppendRecord(bytes, RecordType::kHardState, Serialize(node.m_hard_state));
   for (const wire::LogEntry& entry : node.m_entries)
     AppendRecord(bytes, RecordType::kEntry, Serialize(entry));
   const std::int64_t number = m_segment_number + 1;
--- a/packages/log/src/replication.cc
+++ b/packages/log/src/replication.cc
@@ -20,7 +20,7 @@
            LogEffects& effects) {
   wire::AppendReply reply;
   reply.sent_us = sent_us;
-  reply.term = node.m_hard.term;
+  reply.term = node.m_hard_state.term;
   reply.ok = ok;
   reply.match = match;
   wire::LogMessage message = Message(node, to);
@@ -30,7 +30,7 @@
 
 void HearLeader(LogNode& node, MemberId from, std::int64_t term, LogEffects& effects, Instant now) {
   BecomeFollower(node, term, from, effects, now);
-  node.m_leader_heard = now;
+  node.m_last_leader_contact = now;
   ResetElection(node, now);
 }
 
@@ -40,9 +40,9 @@
     return LastIndex(node);
   const std::int64_t term = TermAt(node, prev);
   std::int64_t index = prev;
-  while (index > node.m_commit && TermAt(node, index) == term)
+  while (index > node.m_commit_index && TermAt(node, index) == term)
     --index;
-  return std::max(index, node.m_commit);
+  return std::max(index, node.m_commit_index);
 }
 
 void SendSnapshot(LogNode& node, MemberId to, LogEffects& effects, Instant now) {
@@ -51,7 +51,7 @@
     return;
   progress.m_snapshot_sent = now;
   wire::SnapshotRequest request;
-  request.term = node.m_hard.term;
+  request.term = node.m_hard_state.term;
   request.snapshot.index = node.m_snapshot_index;
   request.snapshot.term = node.m_snapshot_term;
   request.snapshot.membership = node.m_snapshot_membership;
@@ -70,16 +70,16 @@
     return;
   }
   wire::AppendRequest request;
-  request.term = node.m_hard.term;
+  request.term = node.m_hard_state.term;
   request.prev_index = progress.m_next - 1;
   request.prev_term = TermAt(node, request.prev_index);
-  request.commit = node.m_commit;
+  request.commit = node.m_commit_index;
   request.sent_us = now.time_since_epoch().count();
   const auto first = static_cast<std::size_t>(progress.m_next - node.m_snapshot_index - 1);
   const std::size_t last = std::min(node.m_entries.size(), first + kMaxEntries);
   std::size_t bytes = 0;
   for (std::size_t i = first; i < last && bytes < kMaxAppendBytes; ++i) {
-    bytes += BytesOf(node.m_entries[i]);
+    bytes += EntrySizeBytes(node.m_entries[i]);
     request.entries.push_back(node.m_entries[i]);
   }
   progress.m_next += static_cast<std::int64_t>(request.entries.size());  // Pipelined.
@@ -103,7 +103,7 @@
               const wire::AppendRequest& request,
               LogEffects& effects,
               Instant now) {
-  if (request.term < node.m_hard.term) {
+  if (request.term < node.m_hard_state.term) {
     Reply(node, from, false, LastIndex(node), request.sent_us, effects);
     return;
   }
@@ -132,11 +132,11 @@
       std::max(node.m_snapshot_index,
                request.prev_index + static_cast<std::int64_t>(request.entries.size()));
   AppendLocal(node, std::move(fresh), effects);
-  node.m_commit = std::max(node.m_commit, std::min(request.commit, match));
+  node.m_commit_index = std::max(node.m_commit_index, std::min(request.commit, match));
   HandOut(node, effects);
   Reply(node, from, true, match, request.sent_us, effects);
   // That one waits for the save. This one tells the leader in time that it is followed.
-  if (node.m_save_under_way && match > node.m_saved)
+  if (node.m_save_in_progress && match > node.m_saved)
     Reply(node, from, true, node.m_saved, request.sent_us, effects);
 }
 
@@ -145,12 +145,12 @@
                    const wire::AppendReply& reply,
                    LogEffects& effects,
                    Instant now) {
-  if (reply.term > node.m_hard.term) {
+  if (reply.term > node.m_hard_state.term) {
     BecomeFollower(node, reply.term, 0, effects, now);
     return;
   }
   const auto found = node.m_progress.find(from);
-  if (node.m_role != Role::kLeader || reply.term < node.m_hard.term ||
+  if (node.m_role != Role::kLeader || reply.term < node.m_hard_state.term ||
       found == node.m_progress.end())
     return;
   Progress& progress = found->second;
@@ -178,30 +178,30 @@
                 const wire::SnapshotRequest& request,
                 LogEffects& effects,
                 Instant now) {
-  if (request.term < node.m_hard.term) {
+  if (request.term < node.m_hard_state.term) {
     Reply(node, from, false, LastIndex(node), 0, effects);
     return;
   }
   HearLeader(node, from, request.term, effects, now);
   const wire::Snapshot& snapshot = request.snapshot;
-  const bool new_here = snapshot.index > node.m_commit;
+  const bool new_here = snapshot.index > node.m_commit_index;
   if (new_here && TermAt(node, snapshot.index) == snapshot.term) {
     // A late one: all that it covers is held. What follows it may have been acknowledged.
-    node.m_commit = snapshot.index;
+    node.m_commit_index = snapshot.index;
     HandOut(node, effects);
   } else if (new_here) {
-    ForgetSavedAfter(node, node.m_commit);
+    ForgetSavedAfter(node, node.m_commit_index);
     node.m_entries.clear();
     node.m_snapshot_index = snapshot.index;
     node.m_snapshot_term = snapshot.term;
     node.m_snapshot_membership = snapshot.membership;
     node.m_snapshot_state = std::make_shared<const std::string>(snapshot.state);
-    node.m_commit = snapshot.index;
+    node.m_commit_index = snapshot.index;
     node.m_handed_out = snapshot.index;
     AdoptMembership(node);
     effects.m_install = snapshot;
   }
-  Reply(node, from, true, std::max(snapshot.index, node.m_commit), 0, effects);
+  Reply(node, from, true, std::max(snapshot.index, node.m_commit_index), 0, effects);
 }
 
 }  // namespace poppyway::impl
--- a/packages/policy/include/poppyway/policy.h
+++ b/packages/policy/include/poppyway/policy.h
@@ -27,7 +27,7 @@
 /// - `RolloutTrial`: what a version under trial may get, and what its answers say of it.
 /// - `ForecastWait`: when a place comes free.
 /// - `EvenShare`: an instance's part of a server's places while no broker answers.
-/// - `ChooseNewsSource`: from which member an instance reads news.
+/// - `ChoosePollSource`: from which member an instance reads news.
 /// - `QuotaBucket`, `LocalQuotaBucket`: a workspace's limit at the broker, and without one.
 /// - `RateEstimate`, `RetryBudget`, `RetryAfter`: speed of engines, retries, when to come back.
 
@@ -36,8 +36,8 @@
 #include "poppyway/policy/impl/credit_book.h"
 #include "poppyway/policy/impl/event_size.h"
 #include "poppyway/policy/impl/instance_share.h"
-#include "poppyway/policy/impl/news_source.h"
 #include "poppyway/policy/impl/outage_detector.h"
+#include "poppyway/policy/impl/poll_source.h"
 #include "poppyway/policy/impl/pool_client.h"
 #include "poppyway/policy/impl/prefix_index.h"
 #include "poppyway/policy/impl/quota_bucket.h"
--- a/packages/policy/include/poppyway/policy/impl/news_source.h
+++ b/packages/policy/include/poppyway/policy/impl/poll_source.h
@@ -13,15 +13,15 @@
 namespace poppyway {
 
 /// \brief A member that an instance may read the configuration and the servers from.
-struct NewsSource {
+struct PollSource {
   std::string m_data_centre;  ///< Empty: not known yet.
   Instant m_ejected_until{};  ///< It lagged or didn't answer.
 
-  friend bool operator==(const NewsSource&, const NewsSource&) = default;
+  friend bool operator==(const PollSource&, const PollSource&) = default;
 };
 
 /// \brief Where an instance is.
-struct ReaderPlace {
+struct PollerLocation {
   std::string_view m_data_centre;
   std::string_view m_region;
 };
@@ -30,9 +30,9 @@
 /// else any, so that each change crosses a link between data centres once for each member rather
 /// than once for each instance. Of equals, `turn` spreads the readers.
 /// Precondition: `sources` is not empty.
-[[nodiscard]] std::size_t ChooseNewsSource(std::span<const NewsSource> sources,
+[[nodiscard]] std::size_t ChoosePollSource(std::span<const PollSource> sources,
                                            const RegionMap& regions,
-                                           const ReaderPlace& reader,
+                                           const PollerLocation& reader,
                                            std::uint64_t turn,
                                            Instant now);
 
--- a/packages/policy/src/news_source.cc
+++ b/packages/policy/src/poll_source.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// The nearer, the less.
-int DistanceOf(const NewsSource& source, const RegionMap& regions, const ReaderPlace& reader) {
+int DistanceOf(const PollSource& source, const RegionMap& regions, const PollerLocation& reader) {
   if (source.m_data_centre.empty())
     return 2;
   if (source.m_data_centre == reader.m_data_centre)
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-std::size_t ChooseNewsSource(std::span<const NewsSource> sources,
+std::size_t ChoosePollSource(std::span<const PollSource> sources,
                              const RegionMap& regions,
-                             const ReaderPlace& reader,
+                             const PollerLocation& reader,
                              std::uint64_t turn,
                              Instant now) {
   constexpr int kAvoided = 3;  // Farther than any that is not.
--- a/packages/news/include/poppyway/news.h
+++ b/packages/polling/include/poppyway/polling.h
@@ -8,4 +8,4 @@
 /// \detail They reach members through functions that they are given, and know no sockets. No object
 /// is thread-safe; each belongs to the control task.
 
-#include "poppyway/news/impl/hosted_news.h"
+#include "poppyway/polling/impl/hosted_state_poller.h"
--- a/packages/news/include/poppyway/news/impl/hosted_news.h
+++ b/packages/polling/include/poppyway/polling/impl/hosted_state_poller.h
@@ -13,12 +13,13 @@
 
 /// \brief How the reader of news reaches members, which it names by their index, and who takes what
 /// it reads.
-struct NewsPort {
-  std::function<void(std::size_t member, wire::Body, Duration timeout, PeerClient::OnReply)> m_ask;
+struct PollerCallbacks {
+  std::function<void(std::size_t member, wire::Body, Duration timeout, PeerClient::OnReply)>
+      m_call_member;
   /// When bytes last came from a member; zero: never.
-  std::function<Instant(std::size_t member)> m_last_read;
+  std::function<Instant(std::size_t member)> m_last_receive_time;
   /// The member to read from now.
-  std::function<std::size_t(Instant now)> m_nearest;
+  std::function<std::size_t(Instant now)> m_choose_member;
   /// A member lags or doesn't answer: others are read for a while.
   std::function<void(std::size_t member, Instant now)> m_avoid;
   std::function<std::size_t()> m_leader;
@@ -31,9 +32,9 @@
 /// on one long poll, the operator's document on another, so that neither waits for the other. A
 /// document comes as steps; what is large of them comes piece by piece, each asked for when the one
 /// before is here. Belongs to the control task.
-class HostedNews {
+class HostedStatePoller {
  public:
-  explicit HostedNews(NewsPort port);
+  explicit HostedStatePoller(PollerCallbacks port);
 
   /// Asks where nothing is being asked. `leader_document` and `leader_servers` are what the leader
   /// last said it has: a member that has not told as much in time is passed over.
@@ -82,7 +83,7 @@
   void TurnAway(Question& question, Instant now);
   void PublishDocument();
 
-  NewsPort m_port;
+  PollerCallbacks m_port;
   Question m_servers;
   Question m_documents;
   std::int64_t m_servers_index = 0;
--- a/packages/news/src/hosted_news.cc
+++ b/packages/polling/src/hosted_state_poller.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-#include "poppyway/news.h"
+#include "poppyway/polling.h"
 
 #include <algorithm>
 #include <utility>
@@ -25,27 +25,29 @@
 
 }  // namespace
 
-HostedNews::HostedNews(NewsPort port) : m_port(std::move(port)) {
+HostedStatePoller::HostedStatePoller(PollerCallbacks port) : m_port(std::move(port)) {
   m_servers.m_kind = wire::NewsKind::SERVERS;
   m_documents.m_kind = wire::NewsKind::DOCUMENT;
 }
 
-void HostedNews::Tick(std::int64_t leader_document, std::int64_t leader_servers, Instant now) {
+void HostedStatePoller::Tick(std::int64_t leader_document,
+                             std::int64_t leader_servers,
+                             Instant now) {
   Attend(m_servers, m_servers_index < leader_servers, now);
   if (!m_fetch)
     Attend(m_documents, m_published < leader_document, now);
 }
 
-void HostedNews::Attend(Question& question, bool behind, Instant now) {
+void HostedStatePoller::Attend(Question& question, bool behind, Instant now) {
   if (question.m_open) {
     CheckBehind(question, behind, now);
   } else if (now >= question.m_after) {
-    question.m_member = m_port.m_nearest(now);
+    question.m_member = m_port.m_choose_member(now);
     Ask(question, now);
   }
 }
 
-void HostedNews::Ask(Question& question, Instant now) {
+void HostedStatePoller::Ask(Question& question, Instant now) {
   question.m_open = true;
   question.m_behind_since = {};
   const std::uint64_t number = ++question.m_number;
@@ -58,16 +60,17 @@
   poll.have_document = m_whole_wanted ? 0 : m_document->version;
   wire::Body body;
   body.__set_poll(poll);
-  m_port.m_ask(question.m_member, std::move(body), kPollTimeout,
-               [this, &question, number, member = question.m_member](Result<wire::Body> reply) {
-                 OnAnswer(question, number, member, reply);
-               });
+  m_port.m_call_member(
+      question.m_member, std::move(body), kPollTimeout,
+      [this, &question, number, member = question.m_member](Result<wire::Body> reply) {
+        OnAnswer(question, number, member, reply);
+      });
 }
 
-void HostedNews::OnAnswer(Question& question,
-                          std::uint64_t number,
-                          std::size_t member,
-                          const Result<wire::Body>& reply) {
+void HostedStatePoller::OnAnswer(Question& question,
+                                 std::uint64_t number,
+                                 std::size_t member,
+                                 const Result<wire::Body>& reply) {
   const bool current = number == question.m_number;
   if (current)
     question.m_open = false;
@@ -85,14 +88,14 @@
     OnDocument(reply->delta, member);
 }
 
-void HostedNews::OnServers(const wire::ConfigDelta& delta) {
+void HostedStatePoller::OnServers(const wire::ConfigDelta& delta) {
   if (delta.servers_index <= m_servers_index)
     return;
   m_servers_index = delta.servers_index;
   m_port.m_on_servers(delta);
 }
 
-void HostedNews::OnDocument(const wire::ConfigDelta& delta, std::size_t member) {
+void HostedStatePoller::OnDocument(const wire::ConfigDelta& delta, std::size_t member) {
   if (m_fetch)
     return;  // The steps after the one that is fetched are asked for again.
   for (const wire::DocumentChange& step : delta.steps) {
@@ -109,8 +112,8 @@
   PublishDocument();
 }
 
-bool HostedNews::TakeStep(const wire::DocumentChange& step) {
-  Result<wire::Document> document = ApplyStep(*m_document, step);
+bool HostedStatePoller::TakeStep(const wire::DocumentChange& step) {
+  Result<wire::Document> document = PatchDocument(*m_document, step);
   if (!document) {
     POPPYWAY_LOG(warning, "document_step_refused")
         .Field("base", step.base)
@@ -126,7 +129,7 @@
   return true;
 }
 
-void HostedNews::PublishDocument() {
+void HostedStatePoller::PublishDocument() {
   if (m_document->version <= m_published)
     return;
   m_published = m_document->version;
@@ -137,24 +140,24 @@
   m_documents.m_after = std::max(m_documents.m_after, now + rest);
 }
 
-void HostedNews::BeginFetch(const wire::DocumentChange& step, std::size_t member) {
+void HostedStatePoller::BeginFetch(const wire::DocumentChange& step, std::size_t member) {
   m_fetch = std::make_unique<Fetch>(Fetch{step, member, ReadClock()});
   m_fetch->m_step.edits.clear();
   FetchPiece();
 }
 
-void HostedNews::FetchPiece() {
+void HostedStatePoller::FetchPiece() {
   wire::PieceRequest request;
   request.base = m_fetch->m_step.base;
   request.version = m_fetch->m_step.version;
   request.offset = static_cast<std::int64_t>(m_fetch->m_step.edits.size());
   wire::Body body;
   body.__set_piece_request(request);
-  m_port.m_ask(m_fetch->m_member, std::move(body), kPieceTimeout,
-               [this](const Result<wire::Body>& reply) { OnPiece(reply); });
+  m_port.m_call_member(m_fetch->m_member, std::move(body), kPieceTimeout,
+                       [this](const Result<wire::Body>& reply) { OnPiece(reply); });
 }
 
-void HostedNews::OnPiece(const Result<wire::Body>& reply) {
+void HostedStatePoller::OnPiece(const Result<wire::Body>& reply) {
   wire::DocumentChange& step = m_fetch->m_step;
   // A piece without bytes: the member doesn't keep that step any more.
   if (!reply || !reply->__isset.piece || reply->piece.bytes.empty()) {
@@ -178,7 +181,7 @@
   EndFetch();
 }
 
-void HostedNews::EndFetch() {
+void HostedStatePoller::EndFetch() {
   const std::unique_ptr<Fetch> fetch = std::move(m_fetch);
   POPPYWAY_LOG(info, "document_fetched")
       .Field("base", fetch->m_step.base)
@@ -189,7 +192,7 @@
     PublishDocument();
 }
 
-void HostedNews::CheckBehind(Question& question, bool behind, Instant now) {
+void HostedStatePoller::CheckBehind(Question& question, bool behind, Instant now) {
   if (!behind) {
     question.m_behind_since = {};
     question.m_patience = kPollOverdue;
@@ -198,7 +201,7 @@
   if (question.m_behind_since == Instant{})
     question.m_behind_since = now;
   const std::size_t leader = m_port.m_leader();
-  const Instant last_read = m_port.m_last_read(question.m_member);
+  const Instant last_read = m_port.m_last_receive_time(question.m_member);
   // What still arrives would only come later if it were asked for again.
   const bool arriving = last_read != Instant{} && now - last_read < kPollOverdue;
   const bool patient = now - question.m_behind_since < question.m_patience;
@@ -216,7 +219,7 @@
   Ask(question, now);
 }
 
-void HostedNews::TurnAway(Question& question, Instant now) {
+void HostedStatePoller::TurnAway(Question& question, Instant now) {
   m_port.m_avoid(question.m_member, now);
   question.m_after = now + kPollBackoff;
 }
--- a/packages/state/include/poppyway/state.h
+++ b/packages/state/include/poppyway/state.h
@@ -12,7 +12,7 @@
 
 #include "poppyway/state/impl/configuration.h"
 #include "poppyway/state/impl/dispatch_ledger.h"
-#include "poppyway/state/impl/document_steps.h"
+#include "poppyway/state/impl/document_history.h"
 #include "poppyway/state/impl/evacuation_state.h"
 #include "poppyway/state/impl/hosted_state.h"
 #include "poppyway/state/impl/instance_table.h"
--- a/packages/state/include/poppyway/state/impl/dispatch_ledger.h
+++ b/packages/state/include/poppyway/state/impl/dispatch_ledger.h
@@ -20,7 +20,7 @@
   std::set<std::pair<std::int64_t, std::string>> m_by_expiry;
   std::map<std::string, std::set<std::string>> m_running_by_owner;
   std::set<std::pair<std::int64_t, std::string>> m_kept;  ///< Answers kept, soonest expiry first.
-  std::size_t m_kept_bytes = 0;
+  std::size_t m_stored_answer_bytes = 0;
 };
 
 /// \brief Most keys remembered; further claims are answered UNAVAILABLE until some expire.
--- a/packages/state/include/poppyway/state/impl/evacuation_state.h
+++ b/packages/state/include/poppyway/state/impl/evacuation_state.h
@@ -20,7 +20,8 @@
 [[nodiscard]] bool IsEvacuated(const HostedState& state, const std::string& data_centre);
 
 /// \brief The number of a data centre's last order; zero: none was given.
-[[nodiscard]] std::int64_t LastOrder(const HostedState& state, const std::string& data_centre);
+[[nodiscard]] std::int64_t LastEvacuationNumber(const HostedState& state,
+                                                const std::string& data_centre);
 
 /// \brief The log index of the last order that changed something; zero: none did.
 [[nodiscard]] std::int64_t LastEvacuationIndex(const HostedState& state);
--- a/packages/state/include/poppyway/state/impl/hosted_state.h
+++ b/packages/state/include/poppyway/state/impl/hosted_state.h
@@ -57,13 +57,13 @@
 /// \brief Servers of pools that no document names that are kept at most: another writer may name
 /// any. Above what a large deployment registers before its first document; a server refused comes
 /// again with its next heartbeat.
-inline constexpr std::size_t kUnnamedServers = 8192;
+inline constexpr std::size_t kMaxUnlistedPoolServers = 8192;
 
 /// \brief True if `record` tells of a server that would be one too many of pools that aren't among
 /// `named`.
-[[nodiscard]] bool IsOneTooMany(const HostedState& state,
-                                const std::set<std::string>& named,
-                                const wire::ServerRecord& record);
+[[nodiscard]] bool ExceedsUnlistedPoolLimit(const HostedState& state,
+                                            const std::set<std::string>& named,
+                                            const wire::ServerRecord& record);
 
 /// \brief Servers that changed after log index `from`.
 [[nodiscard]] std::vector<wire::ServerRecord> ServersSince(const HostedState& state,
--- a/packages/state/include/poppyway/state/impl/rollout_state.h
+++ b/packages/state/include/poppyway/state/impl/rollout_state.h
@@ -10,7 +10,7 @@
 namespace poppyway {
 
 /// \brief True until the roll-out is completed or rolled back.
-[[nodiscard]] bool UnderWay(const wire::Rollout& rollout) noexcept;
+[[nodiscard]] bool IsRolloutActive(const wire::Rollout& rollout) noexcept;
 
 /// \brief An operator's order. A pool has at most one roll-out under way; its end is remembered
 /// until the next order.
--- a/packages/state/include/poppyway/state/impl/state_machine.h
+++ b/packages/state/include/poppyway/state/impl/state_machine.h
@@ -18,17 +18,18 @@
   HostedState m_hosted;
   std::map<std::string, wire::LeaseGrant> m_leases;  ///< By lease name.
   std::int64_t m_leases_index = 0;                   ///< Log index at which they last changed.
-  std::int64_t m_applied = 0;                        ///< Index of the last applied entry.
+  std::int64_t m_applied_index = 0;                  ///< Index of the last applied entry.
 };
 
 /// \brief Applies one committed entry. Precondition: it follows the last one applied.
 [[nodiscard]] wire::CommandResult ApplyEntry(StateMachine& machine, const wire::LogEntry& entry);
 
 /// \brief The whole state as bytes, for a snapshot.
-[[nodiscard]] std::string SaveMachine(const StateMachine& machine);
+[[nodiscard]] std::string SerializeStateMachine(const StateMachine& machine);
 
 /// \brief Replaces the state by a snapshot's.
 /// \return `kDataDamaged` if the bytes can't be read.
-[[nodiscard]] Result<void> LoadMachine(StateMachine& machine, const wire::Snapshot& snapshot);
+[[nodiscard]] Result<void> RestoreStateMachine(StateMachine& machine,
+                                               const wire::Snapshot& snapshot);
 
 }  // namespace poppyway
--- a/packages/state/src/dispatch_ledger.cc
+++ b/packages/state/src/dispatch_ledger.cc
@@ -10,7 +10,7 @@
 void DropAnswer(DispatchLedger& ledger, wire::KeyRecord& record) {
   if (ledger.m_kept.erase({record.expires_ms, record.key}) == 0)
     return;
-  ledger.m_kept_bytes -= record.answer.body.size();
+  ledger.m_stored_answer_bytes -= record.answer.body.size();
   record.answer.body.clear();
   record.answer.kept = false;
 }
@@ -19,8 +19,8 @@
   if (!record.answer.kept)
     return;
   ledger.m_kept.insert({record.expires_ms, record.key});
-  ledger.m_kept_bytes += record.answer.body.size();
-  while (ledger.m_kept_bytes > kMaxKeptBytes)
+  ledger.m_stored_answer_bytes += record.answer.body.size();
+  while (ledger.m_stored_answer_bytes > kMaxKeptBytes)
     DropAnswer(ledger, ledger.m_keys.at(ledger.m_kept.begin()->second));
 }
 
--- a/packages/state/src/document_steps.cc
+++ b/packages/state/src/document_history.cc
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-wire::DocumentChange ChangeBetween(const wire::Document& base, const wire::Document& target) {
+wire::DocumentChange DiffDocuments(const wire::Document& base, const wire::Document& target) {
   wire::DocumentChange change;
   change.base = base.version;
   change.version = target.version;
@@ -64,11 +64,12 @@
   return change;
 }
 
-wire::DocumentChange WholeOf(const wire::Document& document) {
-  return ChangeBetween({}, document);
+wire::DocumentChange FullDocumentChange(const wire::Document& document) {
+  return DiffDocuments({}, document);
 }
 
-Result<wire::Document> ApplyStep(const wire::Document& base, const wire::DocumentChange& change) {
+Result<wire::Document> PatchDocument(const wire::Document& base,
+                                     const wire::DocumentChange& change) {
   if (change.base != 0 && change.base != base.version)
     return Fail(ResultCode::kVersionConflict, "a step from version " + std::to_string(change.base) +
                                                   " of the document, not " +
@@ -85,7 +86,7 @@
   return document;
 }
 
-void NoteStep(DocumentHistory& history, const wire::DocumentChange& step) {
+void AppendToHistory(DocumentHistory& history, const wire::DocumentChange& step) {
   const bool follows = history.m_steps.empty() || history.m_steps.back().version == step.base;
   if (!follows || step.base == 0) {
     history.m_steps.clear();
@@ -103,9 +104,9 @@
   }
 }
 
-std::vector<wire::DocumentChange> StepsFrom(DocumentHistory& history,
-                                            const wire::Document& newest,
-                                            std::int64_t have) {
+std::vector<wire::DocumentChange> DocumentChangesSince(DocumentHistory& history,
+                                                       const wire::Document& newest,
+                                                       std::int64_t have) {
   if (have >= newest.version)
     return {};
   const std::optional<std::vector<wire::DocumentChange>> steps =
@@ -116,14 +117,14 @@
   if (const auto from_whole = FromWhole(history, newest.version))
     return *from_whole;
   history.m_earlier_whole = std::move(history.m_whole);
-  history.m_whole = WholeOf(newest);
+  history.m_whole = FullDocumentChange(newest);
   const bool larger = steps && BytesOf(*steps) > history.m_whole.bytes;
   return steps && !larger ? *steps : std::vector<wire::DocumentChange>{history.m_whole};
 }
 
-const wire::DocumentChange* FindStep(const DocumentHistory& history,
-                                     std::int64_t base,
-                                     std::int64_t version) {
+const wire::DocumentChange* FindDocumentChange(const DocumentHistory& history,
+                                               std::int64_t base,
+                                               std::int64_t version) {
   const auto is_it = [base, version](const wire::DocumentChange& step) {
     return step.base == base && step.version == version;
   };
@@ -135,8 +136,8 @@
   return found == history.m_steps.end() ? nullptr : &*found;
 }
 
-std::vector<wire::DocumentChange> FirstSteps(std::vector<wire::DocumentChange> steps,
-                                             std::int64_t most) {
+std::vector<wire::DocumentChange> LimitChangeBytes(std::vector<wire::DocumentChange> steps,
+                                                   std::int64_t most) {
   std::vector<wire::DocumentChange> first;
   for (wire::DocumentChange& step : steps) {
     most -= step.bytes;
--- a/packages/state/src/evacuation_state.cc
+++ b/packages/state/src/evacuation_state.cc
@@ -19,7 +19,8 @@
 void ApplyEvacuation(HostedState& state, const wire::EvacuationOrder& order, std::int64_t index) {
   if (IsEvacuated(state, order.data_centre) != order.ends)
     return;
-  const bool late = order.__isset.known && order.known < LastOrder(state, order.data_centre);
+  const bool late =
+      order.__isset.known && order.known < LastEvacuationNumber(state, order.data_centre);
   if (late)
     return;
   wire::Evacuation evacuation;
@@ -37,7 +38,7 @@
   return found != state.m_evacuations.end() && !found->second.ended;
 }
 
-std::int64_t LastOrder(const HostedState& state, const std::string& data_centre) {
+std::int64_t LastEvacuationNumber(const HostedState& state, const std::string& data_centre) {
   const auto found = state.m_evacuations.find(data_centre);
   return found == state.m_evacuations.end() ? 0 : found->second.number;
 }
--- a/packages/state/src/hosted_state.cc
+++ b/packages/state/src/hosted_state.cc
@@ -69,7 +69,7 @@
 bool ApplyDocumentChange(HostedState& state, const wire::DocumentChange& change) {
   if (change.version <= state.m_document.version)
     return true;
-  Result<wire::Document> document = ApplyStep(state.m_document, change);
+  Result<wire::Document> document = PatchDocument(state.m_document, change);
   if (!document)
     return false;
   state.m_document = std::move(*document);
@@ -122,9 +122,9 @@
     ForgetOldest(state);
 }
 
-bool IsOneTooMany(const HostedState& state,
-                  const std::set<std::string>& named,
-                  const wire::ServerRecord& record) {
+bool ExceedsUnlistedPoolLimit(const HostedState& state,
+                              const std::set<std::string>& named,
+                              const wire::ServerRecord& record) {
   if (record.pool.empty() || named.contains(record.pool))
     return false;
   const auto known = state.m_servers.find(record.id);
@@ -135,7 +135,7 @@
     return false;  // It is kept already.
   const auto kept = std::count_if(state.m_servers.begin(), state.m_servers.end(),
                                   [&counts](const auto& entry) { return counts(entry.second); });
-  return static_cast<std::size_t>(kept) >= kUnnamedServers;
+  return static_cast<std::size_t>(kept) >= kMaxUnlistedPoolServers;
 }
 
 std::vector<wire::ServerRecord> ServersSince(const HostedState& state, std::int64_t from) {
--- a/packages/state/src/instance_table.cc
+++ b/packages/state/src/instance_table.cc
@@ -13,9 +13,9 @@
   const InstanceRecord* best = nullptr;
   std::uint64_t highest = 0;
   for (const auto& [incarnation, record] : table.m_live) {
-    if (record.m_beat.stopping)
+    if (record.m_heartbeat.stopping)
       continue;
-    const std::uint64_t score = MixHash(Hash(lease), Hash(record.m_beat.instance));
+    const std::uint64_t score = MixHash(Hash(lease), Hash(record.m_heartbeat.instance));
     if (best != nullptr && score <= highest)
       continue;
     best = &record;
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-InstanceTable BeginLeading(Duration lease, Duration margin, Instant now) {
+InstanceTable MakeInstanceTable(Duration lease, Duration margin, Instant now) {
   InstanceTable table;
   table.m_lease = lease;
   table.m_margin = margin;
@@ -34,19 +34,19 @@
   return table;
 }
 
-void TakeHeartbeat(InstanceTable& table, const wire::Heartbeat& beat, Instant now) {
+void RecordHeartbeat(InstanceTable& table, const wire::Heartbeat& beat, Instant now) {
   for (auto it = table.m_live.begin(); it != table.m_live.end();) {
     const bool former =
-        it->second.m_beat.instance == beat.instance && it->first != beat.incarnation;
+        it->second.m_heartbeat.instance == beat.instance && it->first != beat.incarnation;
     if (!former) {
       ++it;
       continue;
     }
-    table.m_gone.insert(it->first);
+    table.m_ended_incarnations.insert(it->first);
     it = table.m_live.erase(it);
   }
   table.m_live[beat.incarnation] = {beat, now};
-  table.m_gone.erase(beat.incarnation);
+  table.m_ended_incarnations.erase(beat.incarnation);
 }
 
 void ExpireInstances(InstanceTable& table,
@@ -54,25 +54,25 @@
                      Instant now) {
   const Duration limit = table.m_lease + table.m_margin;
   for (auto it = table.m_live.begin(); it != table.m_live.end();) {
-    if (now - it->second.m_heard < limit) {
+    if (now - it->second.m_last_heartbeat < limit) {
       ++it;
       continue;
     }
-    table.m_gone.insert(it->first);
+    table.m_ended_incarnations.insert(it->first);
     it = table.m_live.erase(it);
   }
   if (now - table.m_leading_since < limit)
     return;
   for (const std::string& owner : running_owners) {
     if (!table.m_live.contains(owner))
-      table.m_gone.insert(owner);
+      table.m_ended_incarnations.insert(owner);
   }
 }
 
-std::vector<wire::LeaseGrant> DueLeases(const InstanceTable& table,
-                                        const std::vector<std::string>& leases,
-                                        const std::map<std::string, wire::LeaseGrant>& held,
-                                        Instant now) {
+std::vector<wire::LeaseGrant> PlanLeaseGrants(const InstanceTable& table,
+                                              const std::vector<std::string>& leases,
+                                              const std::map<std::string, wire::LeaseGrant>& held,
+                                              Instant now) {
   const bool predecessor_over = now - table.m_leading_since >= table.m_lease + table.m_margin;
   std::vector<wire::LeaseGrant> due;
   for (const std::string& lease : leases) {
@@ -80,7 +80,7 @@
     const bool granted = present != held.end();
     const auto holder = granted ? table.m_live.find(present->second.holder) : table.m_live.end();
     const bool holder_lives = holder != table.m_live.end();
-    if (holder_lives && !holder->second.m_beat.stopping)
+    if (holder_lives && !holder->second.m_heartbeat.stopping)
       continue;
     // An unheard holder may still act on its lease, unless it said itself that it stops.
     if (granted && !holder_lives && !predecessor_over)
@@ -90,9 +90,9 @@
       continue;
     wire::LeaseGrant grant;
     grant.lease = lease;
-    grant.holder = chosen->m_beat.incarnation;
-    grant.address = chosen->m_beat.address;
-    grant.port = chosen->m_beat.port;
+    grant.holder = chosen->m_heartbeat.incarnation;
+    grant.address = chosen->m_heartbeat.address;
+    grant.port = chosen->m_heartbeat.port;
     grant.epoch = granted ? present->second.epoch + 1 : 1;
     due.push_back(std::move(grant));
   }
--- a/packages/state/src/rollout_state.cc
+++ b/packages/state/src/rollout_state.cc
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-bool UnderWay(const wire::Rollout& rollout) noexcept {
+bool IsRolloutActive(const wire::Rollout& rollout) noexcept {
   return rollout.stage == Stage::TRIAL || rollout.stage == Stage::MOVING;
 }
 
@@ -51,7 +51,7 @@
                                              const wire::RolloutOrder& order,
                                              std::int64_t index) {
   const auto known = state.m_rollouts.find(order.pool);
-  if (known != state.m_rollouts.end() && UnderWay(known->second)) {
+  if (known != state.m_rollouts.end() && IsRolloutActive(known->second)) {
     const bool same = known->second.target == order.target;
     return same ? wire::RolloutVerdict::UNDER_WAY : wire::RolloutVerdict::OTHER_UNDER_WAY;
   }
@@ -72,7 +72,7 @@
   if (known == state.m_rollouts.end())
     return;
   wire::Rollout& rollout = known->second;
-  const bool valid = rollout.number == step.number && UnderWay(rollout);
+  const bool valid = rollout.number == step.number && IsRolloutActive(rollout);
   if (!valid || step.stage < rollout.stage)
     return;
   rollout.left_ms = std::min(rollout.left_ms, step.left_ms);
@@ -87,7 +87,7 @@
 
 bool HeldBack(const HostedState& state, const wire::ServerRecord& server) {
   const auto rollout = state.m_rollouts.find(server.pool);
-  if (rollout == state.m_rollouts.end() || !UnderWay(rollout->second))
+  if (rollout == state.m_rollouts.end() || !IsRolloutActive(rollout->second))
     return false;
   const bool target = server.version == rollout->second.target;
   return target == (rollout->second.stage == Stage::TRIAL);
--- a/packages/state/src/state_machine.cc
+++ b/packages/state/src/state_machine.cc
@@ -21,7 +21,7 @@
 wire::CommandResult ApplyEntry(StateMachine& machine, const wire::LogEntry& entry) {
   wire::CommandResult result;
   const wire::Command& command = entry.command;
-  machine.m_applied = entry.index;
+  machine.m_applied_index = entry.index;
   if (command.__isset.config) {
     result.__set_config(ApplyChange(machine.m_configuration, command.config));
   } else if (command.__isset.rollout) {
@@ -50,7 +50,7 @@
   return result;
 }
 
-std::string SaveMachine(const StateMachine& machine) {
+std::string SerializeStateMachine(const StateMachine& machine) {
   wire::MachineState state;
   const Configuration& configuration = machine.m_configuration;
   state.version = configuration.m_version;
@@ -81,7 +81,7 @@
   return Serialize(state);
 }
 
-Result<void> LoadMachine(StateMachine& machine, const wire::Snapshot& snapshot) {
+Result<void> RestoreStateMachine(StateMachine& machine, const wire::Snapshot& snapshot) {
   Result<wire::MachineState> state = Deserialize<wire::MachineState>(snapshot.state);
   if (!state)
     return Fail(ResultCode::kDataDamaged, "snapshot: " + state.error().m_message);
@@ -115,7 +115,7 @@
     machine.m_hosted.m_evacuations[evacuation.data_centre] = evacuation;
     machine.m_hosted.m_servers_index = std::max(machine.m_hosted.m_servers_index, evacuation.index);
   }
-  machine.m_applied = snapshot.index;
+  machine.m_applied_index = snapshot.index;
   return {};
 }
 
--- a/packages/wire/include/poppyway/wire.h
+++ b/packages/wire/include/poppyway/wire.h
@@ -6,18 +6,18 @@
 /// \brief How poppyway's own processes talk: Thrift messages in length-prefixed frames over TCP,
 /// and the task loop that owns sockets and timers.
 ///
-/// \detail A task is one thread with one `TaskLoop`. Every object here except `Mailbox::Send` and
-/// `TaskLoop::Stop` belongs to its loop's thread. Messages are the structs of poppyway.thrift; the
+/// \detail A task is one thread with one `EventLoop`. Every object here except `Mailbox::Send` and
+/// `EventLoop::Stop` belongs to its loop's thread. Messages are the structs of poppyway.thrift; the
 /// generated code is committed. A frame is a 4-byte big-endian length and a Thrift compact-protocol
 /// `Envelope`; larger than `kMaxFrameBytes` or undecodable closes the connection.
 
 #include "poppyway/wire/impl/blocking_client.h"
 #include "poppyway/wire/impl/codec.h"
+#include "poppyway/wire/impl/event_loop.h"
 #include "poppyway/wire/impl/mailbox.h"
 #include "poppyway/wire/impl/packed.h"
 #include "poppyway/wire/impl/peer_client.h"
 #include "poppyway/wire/impl/peer_connection.h"
 #include "poppyway/wire/impl/peer_server.h"
 #include "poppyway/wire/impl/repeating_timer.h"
-#include "poppyway/wire/impl/task_loop.h"
 #include "poppyway_types.h"
--- a/packages/wire/include/poppyway/wire/impl/task_loop.h
+++ b/packages/wire/include/poppyway/wire/impl/event_loop.h
@@ -12,12 +12,12 @@
 ///
 /// The HTTP library recycles socket buffers by the thread that made the socket: a loop that is made
 /// on one thread and run on another corrupts them.
-class TaskLoop {
+class EventLoop {
  public:
-  TaskLoop();
-  ~TaskLoop();
-  TaskLoop(const TaskLoop&) = delete;
-  TaskLoop& operator=(const TaskLoop&) = delete;
+  EventLoop();
+  ~EventLoop();
+  EventLoop(const EventLoop&) = delete;
+  EventLoop& operator=(const EventLoop&) = delete;
 
   /// Runs until `Stop`.
   void Run();
--- a/packages/wire/include/poppyway/wire/impl/mailbox.h
+++ b/packages/wire/include/poppyway/wire/impl/mailbox.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <utility>
 
-#include "poppyway/wire/impl/task_loop.h"
+#include "poppyway/wire/impl/event_loop.h"
 
 namespace poppyway {
 
@@ -17,7 +17,7 @@
   using Handler = std::function<void(M)>;
 
   /// Precondition: `loop` outlives the mailbox and every `Send`.
-  Mailbox(TaskLoop& loop, Handler handler) : m_handler(std::move(handler)) {
+  Mailbox(EventLoop& loop, Handler handler) : m_handler(std::move(handler)) {
     m_receiver.m_owner = this;
     h2o_multithread_register_receiver(loop.queue(), &m_receiver.m_base, &Mailbox::OnMessages);
   }
--- a/packages/wire/include/poppyway/wire/impl/peer_connection.h
+++ b/packages/wire/include/poppyway/wire/impl/peer_connection.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "poppyway/core.h"
-#include "poppyway/wire/impl/task_loop.h"
+#include "poppyway/wire/impl/event_loop.h"
 #include "poppyway_types.h"
 
 namespace poppyway {
@@ -17,15 +17,16 @@
 inline constexpr Duration kPeerSilence{1'500'000};
 
 /// \brief What a connection still has to write.
-struct SendQueue {
+struct SendQueueStats {
   std::size_t m_bytes = 0;
-  Instant m_since{};  ///< When it was empty last; zero: it is empty.
+  Instant m_nonempty_since{};  ///< When it was empty last; zero: it is empty.
 
-  friend bool operator==(const SendQueue&, const SendQueue&) = default;
+  friend bool operator==(const SendQueueStats&, const SendQueueStats&) = default;
 };
 
 /// \brief Two queues as one: the bytes together, the longer wait.
-[[nodiscard]] SendQueue Join(const SendQueue& a, const SendQueue& b) noexcept;
+[[nodiscard]] SendQueueStats CombineQueueStats(const SendQueueStats& a,
+                                               const SendQueueStats& b) noexcept;
 
 /// \brief A framed connection to a peer. Belongs to its loop's thread.
 class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
@@ -47,9 +48,9 @@
   void Close();
   [[nodiscard]] bool open() const noexcept { return m_socket != nullptr; }
   [[nodiscard]] std::uint64_t bytes_sent() const noexcept { return m_bytes_sent; }
-  [[nodiscard]] SendQueue queue() const noexcept;
+  [[nodiscard]] SendQueueStats queue_stats() const noexcept;
   /// When bytes last arrived, whole message or not; zero: never.
-  [[nodiscard]] Instant last_read() const noexcept { return m_last_read; }
+  [[nodiscard]] Instant last_receive_time() const noexcept { return m_last_receive_time; }
 
  private:
   static void OnReadable(h2o_socket_t* socket, const char* fault);
@@ -64,7 +65,7 @@
   std::string m_writing;
   std::uint64_t m_bytes_sent = 0;
   Instant m_queued_since{};
-  Instant m_last_read{};
+  Instant m_last_receive_time{};
 };
 
 }  // namespace poppyway
--- a/packages/wire/include/poppyway/wire/impl/peer_server.h
+++ b/packages/wire/include/poppyway/wire/impl/peer_server.h
@@ -12,7 +12,7 @@
 class PeerServer {
  public:
   /// \param on_refused called when a peer's malformed message closed its connection.
-  PeerServer(TaskLoop& loop,
+  PeerServer(EventLoop& loop,
              PeerConnection::OnMessage on_message,
              std::function<void(const Error&)> on_refused);
   ~PeerServer();
@@ -20,14 +20,14 @@
   /// Listens on an IPv4 number.
   [[nodiscard]] Result<void> Listen(const std::string& address, std::uint16_t port);
   /// Of all connections: the bytes together, and since when the one that waits longest waits.
-  [[nodiscard]] SendQueue queue() const noexcept;
+  [[nodiscard]] SendQueueStats queue_stats() const noexcept;
   /// On all connections that ever were.
   [[nodiscard]] std::uint64_t bytes_sent() const noexcept;
 
  private:
   static void OnAccept(h2o_socket_t* listener, const char* fault);
 
-  TaskLoop& m_loop;
+  EventLoop& m_loop;
   PeerConnection::OnMessage m_on_message;
   std::function<void(const Error&)> m_on_refused;
   h2o_socket_t* m_listener = nullptr;
@@ -37,7 +37,7 @@
 
 /// \brief Bounds how long a connection waits for a peer that has fallen silent: unacknowledged
 /// bytes and keep-alive probes give up after `limit`.
-void LimitSilence(int fd, Duration limit);
+void SetDeadPeerTimeout(int fd, Duration limit);
 
 /// \brief Opens a non-blocking listening socket.
 /// \return the descriptor, or `kPeerUnreachable`.
--- a/packages/wire/include/poppyway/wire/impl/repeating_timer.h
+++ b/packages/wire/include/poppyway/wire/impl/repeating_timer.h
@@ -4,7 +4,7 @@
 
 #include <functional>
 
-#include "poppyway/wire/impl/task_loop.h"
+#include "poppyway/wire/impl/event_loop.h"
 
 namespace poppyway {
 
@@ -14,12 +14,12 @@
 /// else after the long one, so that an idle process costs next to nothing.
 class RepeatingTimer {
  public:
-  RepeatingTimer(TaskLoop& loop,
+  RepeatingTimer(EventLoop& loop,
                  std::uint64_t busy_millis,
                  std::uint64_t idle_millis,
                  std::function<bool()> on_tick);
   /// The same interval always.
-  RepeatingTimer(TaskLoop& loop, std::uint64_t millis, std::function<void()> on_tick);
+  RepeatingTimer(EventLoop& loop, std::uint64_t millis, std::function<void()> on_tick);
   ~RepeatingTimer();
   RepeatingTimer(const RepeatingTimer&) = delete;
   RepeatingTimer& operator=(const RepeatingTimer&) = delete;
--- a/packages/wire/src/task_loop.cc
+++ b/packages/wire/src/event_loop.cc
@@ -9,26 +9,27 @@
 
 }  // namespace
 
-TaskLoop::TaskLoop() : m_loop(h2o_evloop_create()), m_queue(h2o_multithread_create_queue(m_loop)) {
-  h2o_multithread_register_receiver(m_queue, &m_waker, &TaskLoop::OnWake);
+EventLoop::EventLoop()
+    : m_loop(h2o_evloop_create()), m_queue(h2o_multithread_create_queue(m_loop)) {
+  h2o_multithread_register_receiver(m_queue, &m_waker, &EventLoop::OnWake);
 }
 
 // The loop itself is never freed: sockets of the library that are closing may still refer to it,
 // and a task lives as long as its process.
-TaskLoop::~TaskLoop() = default;
+EventLoop::~EventLoop() = default;
 
-void TaskLoop::Run() {
+void EventLoop::Run() {
   while (!m_stopped.load(std::memory_order_acquire))
     h2o_evloop_run(m_loop, kMaxWaitMillis);
 }
 
-void TaskLoop::RunFor(int millis) {
+void EventLoop::RunFor(int millis) {
   const Instant end = ReadClock() + std::chrono::milliseconds(millis);
   while (ReadClock() < end && !m_stopped.load(std::memory_order_acquire))
     h2o_evloop_run(m_loop, 1);
 }
 
-void TaskLoop::Stop() noexcept {
+void EventLoop::Stop() noexcept {
   m_stopped.store(true, std::memory_order_release);
   h2o_multithread_send_message(&m_waker, nullptr);
 }
--- a/packages/wire/src/peer_client.cc
+++ b/packages/wire/src/peer_client.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-PeerClient::PeerClient(TaskLoop& loop, std::string address, std::uint16_t port)
+PeerClient::PeerClient(EventLoop& loop, std::string address, std::uint16_t port)
     : m_loop(loop),
       m_address(std::move(address)),
       m_port(port),
@@ -31,12 +31,12 @@
   return m_closed_bytes + (m_connection ? m_connection->bytes_sent() : 0);
 }
 
-Instant PeerClient::last_read() const noexcept {
-  return m_connection ? m_connection->last_read() : Instant{};
+Instant PeerClient::last_receive_time() const noexcept {
+  return m_connection ? m_connection->last_receive_time() : Instant{};
 }
 
-SendQueue PeerClient::queue() const noexcept {
-  return m_connection ? m_connection->queue() : SendQueue{};
+SendQueueStats PeerClient::queue_stats() const noexcept {
+  return m_connection ? m_connection->queue_stats() : SendQueueStats{};
 }
 
 void PeerClient::Call(wire::Body body, Duration timeout, OnReply on_reply) {
@@ -48,7 +48,7 @@
   Post(std::move(envelope));
 }
 
-void PeerClient::Tell(wire::Body body) {
+void PeerClient::Notify(wire::Body body) {
   wire::Envelope envelope;
   envelope.id = 0;
   envelope.reply = false;
@@ -87,7 +87,7 @@
   auto* self = static_cast<PeerClient*>(socket->data);
   self->m_connecting = nullptr;
   if (fault == nullptr)
-    LimitSilence(h2o_socket_get_fd(socket), kPeerSilence);
+    SetDeadPeerTimeout(h2o_socket_get_fd(socket), kPeerSilence);
   if (fault != nullptr) {
     h2o_socket_close(socket);
     self->m_backlog.clear();
@@ -99,7 +99,7 @@
   self->m_connection = std::make_shared<PeerConnection>(
       socket,
       [self](PeerConnection&, wire::Envelope envelope) {
-        self->m_last_heard = ReadClock();
+        self->m_last_message_time = ReadClock();
         const auto found = self->m_waiting.find(envelope.id);
         if (found == self->m_waiting.end()) {
           if (self->m_on_push)
--- a/packages/wire/src/peer_connection.cc
+++ b/packages/wire/src/peer_connection.cc
@@ -4,10 +4,11 @@
 
 namespace poppyway {
 
-SendQueue Join(const SendQueue& a, const SendQueue& b) noexcept {
-  SendQueue both{a.m_bytes + b.m_bytes, a.m_since};
-  if (a.m_since == Instant{} || (b.m_since != Instant{} && b.m_since < a.m_since))
-    both.m_since = b.m_since;
+SendQueueStats CombineQueueStats(const SendQueueStats& a, const SendQueueStats& b) noexcept {
+  SendQueueStats both{a.m_bytes + b.m_bytes, a.m_nonempty_since};
+  if (a.m_nonempty_since == Instant{} ||
+      (b.m_nonempty_since != Instant{} && b.m_nonempty_since < a.m_nonempty_since))
+    both.m_nonempty_since = b.m_nonempty_since;
   return both;
 }
 
@@ -33,7 +34,7 @@
   Flush();
 }
 
-SendQueue PeerConnection::queue() const noexcept {
+SendQueueStats PeerConnection::queue_stats() const noexcept {
   return {m_writing.size() + m_pending.size(), m_queued_since};
 }
 
@@ -80,7 +81,7 @@
     self->Drop({ResultCode::kPeerUnreachable, fault});
     return;
   }
-  self->m_last_read = ReadClock();
+  self->m_last_receive_time = ReadClock();
   const auto keep = self->shared_from_this();
   while (self->open()) {
     const std::string_view bytes(socket->input->bytes, socket->input->size);
--- a/packages/wire/src/peer_server.cc
+++ b/packages/wire/src/peer_server.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void LimitSilence(int fd, Duration limit) {
+void SetDeadPeerTimeout(int fd, Duration limit) {
   const int on = 1;
   const auto millis = static_cast<unsigned int>(limit.count() / 1000);
   const int second = 1;
@@ -47,7 +47,7 @@
               "can't listen on " + address + ":" + std::to_string(port) + ": " + why);
 }
 
-PeerServer::PeerServer(TaskLoop& loop,
+PeerServer::PeerServer(EventLoop& loop,
                        PeerConnection::OnMessage on_message,
                        std::function<void(const Error&)> on_refused)
     : m_loop(loop), m_on_message(std::move(on_message)), m_on_refused(std::move(on_refused)) {}
@@ -67,10 +67,10 @@
   return {};
 }
 
-SendQueue PeerServer::queue() const noexcept {
-  SendQueue all;
+SendQueueStats PeerServer::queue_stats() const noexcept {
+  SendQueueStats all;
   for (const auto& connection : m_connections)
-    all = Join(all, connection->queue());
+    all = CombineQueueStats(all, connection->queue_stats());
   return all;
 }
 
@@ -88,7 +88,7 @@
   h2o_socket_t* socket = h2o_evloop_socket_accept(listener);
   if (socket == nullptr)
     return;
-  LimitSilence(h2o_socket_get_fd(socket), kPeerSilence);
+  SetDeadPeerTimeout(h2o_socket_get_fd(socket), kPeerSilence);
   auto connection = std::make_shared<PeerConnection>(
       socket, self->m_on_message, [self](PeerConnection& closed, const Error& why) {
         self->m_closed_bytes += closed.bytes_sent();
--- a/packages/wire/src/repeating_timer.cc
+++ b/packages/wire/src/repeating_timer.cc
@@ -4,7 +4,7 @@
 
 namespace poppyway {
 
-RepeatingTimer::RepeatingTimer(TaskLoop& loop,
+RepeatingTimer::RepeatingTimer(EventLoop& loop,
                                std::uint64_t busy_millis,
                                std::uint64_t idle_millis,
                                std::function<bool()> on_tick)
@@ -16,7 +16,7 @@
   h2o_timeout_link(m_loop, &m_busy, &m_entry.m_base);
 }
 
-RepeatingTimer::RepeatingTimer(TaskLoop& loop, std::uint64_t millis, std::function<void()> on_tick)
+RepeatingTimer::RepeatingTimer(EventLoop& loop, std::uint64_t millis, std::function<void()> on_tick)
     : RepeatingTimer(loop, millis, millis, [tick = std::move(on_tick)] {
         tick();
         return true;
--- a/scripts/mutants.py
+++ b/scripts/mutants.py
@@ -55,7 +55,7 @@
      "  const std::int64_t index = matches[majority - 1];", "  const std::int64_t index = matches[0];",
      "unit", "acknowledged entries survive*"),
     ("commit-of-older-term", "packages/log/src/log_node.cc",
-     "  if (index > node.m_commit && TermAt(node, index) == node.m_hard.term)", "  if (index > node.m_commit)",
+     "  if (index > node.m_commit_index && TermAt(node, index) == node.m_hard_state.term)", "  if (index > node.m_commit_index)",
      "unit", "an entry of an older term is committed only*"),
     ("damaged-record-skipped", "packages/log/src/record.cc",
      '    return Damaged(offset, "its payload doesn\'t check");', "    return std::nullopt;",
--- a/tests/backend_call_test.cc
+++ b/tests/backend_call_test.cc
@@ -30,7 +30,7 @@
   [[nodiscard]] bool ended() const { return m_whole || m_fault.has_value(); }
 };
 
-CallReport RunCall(TaskLoop& loop,
+CallReport RunCall(EventLoop& loop,
                    BackendPool& pool,
                    std::uint16_t port,
                    const std::string& wanted_id = "",
@@ -48,7 +48,7 @@
     return HeadVerdict::kTake;
   };
   events.m_on_data = [&](std::string_view bytes) { report.m_data += bytes; };
-  events.m_on_whole = [&] { report.m_whole = true; };
+  events.m_on_complete = [&] { report.m_whole = true; };
   events.m_on_fault = [&](CallFault fault) { report.m_fault = fault; };
   BackendCall call(pool, {"127.0.0.1", port}, "GET /a HTTP/1.1\r\nhost: t\r\n\r\n", false, false,
                    std::move(events));
@@ -61,7 +61,7 @@
 
 CallReport RunScript(std::vector<ScriptStep> steps) {
   ScriptedServer server([&steps](const std::string&) { return steps; });
-  TaskLoop loop;
+  EventLoop loop;
   BackendPool pool(loop);
   return RunCall(loop, pool, server.port());
 }
@@ -116,7 +116,7 @@
         Send("HTTP/1.1 200 OK\r\nx-id: old\r\ncontent-length: 3\r\n\r\nold"
              "HTTP/1.1 200 OK\r\nx-id: mine\r\ncontent-length: 4\r\n\r\nmine")};
   });
-  TaskLoop loop;
+  EventLoop loop;
   BackendPool pool(loop);
   const CallReport report = RunCall(loop, pool, server.port(), "mine");
   CHECK(report.m_whole);
@@ -131,7 +131,7 @@
     return std::vector<ScriptStep>{Send("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"),
                                    Send(surplus ? "HTTP/1.1 200 OK\r\n" : "")};
   });
-  TaskLoop loop;
+  EventLoop loop;
   BackendPool pool(loop);
   CHECK_FALSE(RunCall(loop, pool, server.port()).m_reused);
   CHECK(RunCall(loop, pool, server.port()).m_reused);
@@ -144,7 +144,7 @@
     return std::vector<ScriptStep>{
         Send("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nok")};
   });
-  TaskLoop loop;
+  EventLoop loop;
   BackendPool pool(loop);
   CHECK(RunCall(loop, pool, server.port()).m_whole);
   CHECK_FALSE(RunCall(loop, pool, server.port()).m_reused);
@@ -156,7 +156,7 @@
     const ScriptedServer gone([](const std::string&) { return std::vector<ScriptStep>{}; });
     closed_port = gone.port();
   }
-  TaskLoop loop;
+  EventLoop loop;
   BackendPool pool(loop);
   const CallReport refused = RunCall(loop, pool, closed_port);
   CHECK(refused.m_fault == CallFault::kNotConnected);
--- a/tests/broker_link_test.cc
+++ b/tests/broker_link_test.cc
@@ -75,7 +75,7 @@
   const Instant quiet = ReadClock();
   while (ReadClock() - quiet < Duration(500'000))
     rig.m_loop.RunFor(5);
-  CHECK(broker.m_silent == 0);
+  CHECK(broker.m_unresponsive_count == 0);
   // Its late word gives the place back, and it is asked again.
   REQUIRE(broker.Asks().size() == 1);
   Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kPlaced, "s0");
@@ -84,7 +84,7 @@
   REQUIRE(broker.Asks().size() == 2);
   Decide(rig, broker.Asks()[1].m_ref, SlotVerdict::kPlaced, "s0");
   CHECK(call.Finish(rig).status() == 200);
-  CHECK(broker.m_silent == 0);
+  CHECK(broker.m_unresponsive_count == 0);
   const std::vector<SlotReport> reports = broker.Reports();
   const auto returned = [&](const SlotReport& report) {
     return report.m_ref == broker.Asks()[0].m_ref && report.m_ended && !report.m_may_have_run;
@@ -101,9 +101,9 @@
   rig.Register("s0", server);
   FakeBroker broker(rig);
   CHECK(Call(rig, Request("/safe/", "i")).status() == 200);
-  rig.RunUntil([&] { return broker.m_silent == 1; });
-  rig.RunUntil([&] { return broker.m_silent == 1; });
-  CHECK(broker.m_silent == 1);
+  rig.RunUntil([&] { return broker.m_unresponsive_count == 1; });
+  rig.RunUntil([&] { return broker.m_unresponsive_count == 1; });
+  CHECK(broker.m_unresponsive_count == 1);
 }
 
 TEST_CASE("a request that waits at the broker is decided here once the broker is lost") {
@@ -114,7 +114,7 @@
   Pending call(rig, Request("/safe/", "i"));
   rig.RunUntil([&] { return !broker.Asks().empty(); });
   Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kQueued);
-  rig.m_forwarder->Take(BrokerLost{});
+  rig.m_forwarder->HandleMessage(BrokerDisconnected{});
   CHECK(call.Finish(rig).status() == 200);
 }
 
@@ -171,7 +171,7 @@
   Pending waiting(rig, Request("/safe/", "j"));
   rig.RunUntil([&] { return broker.Asks().size() == 2; });
   broker.m_batches.clear();
-  rig.m_forwarder->Take(BrokerFound{2});
+  rig.m_forwarder->HandleMessage(BrokerConnected{2});
   REQUIRE_FALSE(broker.m_batches.empty());
   const SlotBatch& first = broker.m_batches[0];
   CHECK(first.m_resync);
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -103,12 +103,12 @@
   (void)ApplyEntry(machine, claim);
   wire::Snapshot snapshot;
   snapshot.index = 2;
-  snapshot.state = SaveMachine(machine);
+  snapshot.state = SerializeStateMachine(machine);
   StateMachine loaded;
-  REQUIRE(LoadMachine(loaded, snapshot));
-  CHECK(SaveMachine(loaded) == snapshot.state);
+  REQUIRE(RestoreStateMachine(loaded, snapshot));
+  CHECK(SerializeStateMachine(loaded) == snapshot.state);
   CHECK(ApplyChange(loaded.m_configuration, Change("a", 0, "1")).version == 1);
   CHECK(loaded.m_ledger.m_running_by_owner.at("g").contains("k"));
   snapshot.state.resize(snapshot.state.size() / 2);
-  CHECK(LoadMachine(loaded, snapshot).error().m_code == ResultCode::kDataDamaged);
+  CHECK(RestoreStateMachine(loaded, snapshot).error().m_code == ResultCode::kDataDamaged);
 }
--- a/tests/dispatch_ledger_test.cc
+++ b/tests/dispatch_ledger_test.cc
@@ -131,7 +131,7 @@
     (void)ApplyClaim(ledger, Claim(key, "a", i, false, i));
     ApplyFinish(ledger, Finish(key, "a", i, wire::FinishKind::DONE, big));
   }
-  CHECK(ledger.m_kept_bytes <= kMaxKeptBytes);
+  CHECK(ledger.m_stored_answer_bytes <= kMaxKeptBytes);
   CHECK_FALSE(ApplyClaim(ledger, Claim("k0", "b", 1)).answer.kept);
   CHECK(ApplyClaim(ledger, Claim("k" + std::to_string(count - 1), "b", 1)).answer.kept);
 }
--- a/tests/document_steps_test.cc
+++ b/tests/document_history_test.cc
@@ -62,7 +62,7 @@
   DocumentHistory history;
   wire::Document held;
   for (const wire::Document& version : versions) {
-    NoteStep(history, ChangeBetween(held, version));
+    AppendToHistory(history, DiffDocuments(held, version));
     held = version;
   }
   return history;
@@ -71,7 +71,7 @@
 /// The text that a reader has after `steps`.
 std::string Follow(wire::Document held, const std::vector<wire::DocumentChange>& steps) {
   for (const wire::DocumentChange& step : steps) {
-    Result<wire::Document> next = ApplyStep(held, step);
+    Result<wire::Document> next = PatchDocument(held, step);
     REQUIRE(next);
     held = std::move(*next);
   }
@@ -156,19 +156,19 @@
 TEST_CASE("a step is taken on the version that it is from, and on no other") {
   const std::vector<wire::Document> versions = Versions(3);
   HostedState state;
-  CHECK(ApplyDocumentChange(state, ChangeBetween({}, versions[0])));
-  CHECK_FALSE(ApplyDocumentChange(state, ChangeBetween(versions[1], versions[2])));
+  CHECK(ApplyDocumentChange(state, DiffDocuments({}, versions[0])));
+  CHECK_FALSE(ApplyDocumentChange(state, DiffDocuments(versions[1], versions[2])));
   CHECK(state.m_document.version == 1);
-  CHECK(ApplyDocumentChange(state, ChangeBetween(versions[0], versions[2])));
+  CHECK(ApplyDocumentChange(state, DiffDocuments(versions[0], versions[2])));
   CHECK(state.m_document.body == versions[2].body);
   // An older one is taken as well and changes nothing.
-  CHECK(ApplyDocumentChange(state, ChangeBetween(versions[0], versions[1])));
+  CHECK(ApplyDocumentChange(state, DiffDocuments(versions[0], versions[1])));
   CHECK(state.m_document.version == 3);
 }
 
 TEST_CASE("a step whose result isn't what was meant changes nothing") {
   const std::vector<wire::Document> versions = Versions(2);
-  wire::DocumentChange step = ChangeBetween(versions[0], versions[1]);
+  wire::DocumentChange step = DiffDocuments(versions[0], versions[1]);
   ++step.digest;
   HostedState state;
   state.m_document = versions[0];
@@ -179,21 +179,22 @@
 TEST_CASE("a reader that has an earlier version gets the steps from there") {
   const std::vector<wire::Document> versions = Versions(20);
   DocumentHistory history = HistoryOf(versions);
-  const std::vector<wire::DocumentChange> steps = StepsFrom(history, versions.back(), 15);
+  const std::vector<wire::DocumentChange> steps =
+      DocumentChangesSince(history, versions.back(), 15);
   CHECK(steps.size() == 5);
   CHECK(Follow(versions[14], steps) == versions.back().body);
-  CHECK(StepsFrom(history, versions.back(), 20).empty());
+  CHECK(DocumentChangesSince(history, versions.back(), 20).empty());
 }
 
 TEST_CASE("a reader without a known version gets one whole document and what came after it") {
   const std::vector<wire::Document> versions = Versions(20);
   DocumentHistory history = HistoryOf({versions.begin(), versions.begin() + 10});
-  CHECK(Follow({}, StepsFrom(history, versions[9], 0)) == versions[9].body);
+  CHECK(Follow({}, DocumentChangesSince(history, versions[9], 0)) == versions[9].body);
   const std::int64_t packed = history.m_whole.version;
   for (std::size_t i = 10; i < versions.size(); ++i)
-    NoteStep(history, ChangeBetween(versions[i - 1], versions[i]));
+    AppendToHistory(history, DiffDocuments(versions[i - 1], versions[i]));
   // It isn't made anew with each version.
-  CHECK(Follow(Document(999, "unknown"), StepsFrom(history, versions.back(), 0)) ==
+  CHECK(Follow(Document(999, "unknown"), DocumentChangesSince(history, versions.back(), 0)) ==
         versions.back().body);
   CHECK(history.m_whole.version == packed);
 }
@@ -201,8 +202,8 @@
 TEST_CASE("steps that don't follow on what is known are not joined to it") {
   const std::vector<wire::Document> versions = Versions(9);
   DocumentHistory history = HistoryOf({versions.begin(), versions.begin() + 3});
-  NoteStep(history, ChangeBetween(versions[6], versions[7]));
-  const std::vector<wire::DocumentChange> steps = StepsFrom(history, versions[7], 2);
+  AppendToHistory(history, DiffDocuments(versions[6], versions[7]));
+  const std::vector<wire::DocumentChange> steps = DocumentChangesSince(history, versions[7], 2);
   CHECK(Follow(versions[1], steps) == versions[7].body);
 }
 
@@ -215,11 +216,11 @@
     for (int i = 0; i < 10'000; ++i)
       body += RandomWord(random);
     const wire::Document next = Document(version, body);
-    NoteStep(history, ChangeBetween(held, next));
+    AppendToHistory(history, DiffDocuments(held, next));
     held = next;
   }
   CHECK(history.m_bytes <= 1u << 20);
-  CHECK(Follow({}, StepsFrom(history, held, 1)) == held.body);
+  CHECK(Follow({}, DocumentChangesSince(history, held, 1)) == held.body);
 }
 
 }  // namespace
--- a/tests/evacuation_test.cc
+++ b/tests/evacuation_test.cc
@@ -35,12 +35,12 @@
   CHECK_FALSE(IsEvacuated(state, "west"));
   CHECK(state.m_servers_index == 7);
   ApplyEvacuation(state, Order("east"), 8);
-  CHECK(LastOrder(state, "east") == 1);
+  CHECK(LastEvacuationNumber(state, "east") == 1);
   CHECK(LastEvacuationIndex(state) == 7);
   ApplyEvacuation(state, Order("east", true), 9);
   ApplyEvacuation(state, Order("east", true), 10);
   CHECK_FALSE(IsEvacuated(state, "east"));
-  CHECK(LastOrder(state, "east") == 2);
+  CHECK(LastEvacuationNumber(state, "east") == 2);
   CHECK(LastEvacuationIndex(state) == 9);
 }
 
@@ -54,14 +54,14 @@
 TEST_CASE("an order that arrives after others were given doesn't undo them") {
   HostedState state;
   wire::EvacuationOrder first = Order("east");
-  first.__set_known(LastOrder(state, "east"));
+  first.__set_known(LastEvacuationNumber(state, "east"));
   ApplyEvacuation(state, Order("east"), 7);        // The same order, through another member.
   ApplyEvacuation(state, Order("east", true), 8);  // Taken back.
   ApplyEvacuation(state, first, 9);                // What was held up on its way.
   CHECK_FALSE(IsEvacuated(state, "east"));
-  CHECK(LastOrder(state, "east") == 2);
+  CHECK(LastEvacuationNumber(state, "east") == 2);
   wire::EvacuationOrder next = Order("east");
-  next.__set_known(LastOrder(state, "east"));
+  next.__set_known(LastEvacuationNumber(state, "east"));
   ApplyEvacuation(state, next, 10);
   CHECK(IsEvacuated(state, "east"));
 }
@@ -69,7 +69,7 @@
 TEST_CASE("an order for one data centre makes none for another late") {
   HostedState state;
   wire::EvacuationOrder west = Order("west");
-  west.__set_known(LastOrder(state, "west"));
+  west.__set_known(LastEvacuationNumber(state, "west"));
   ApplyEvacuation(state, Order("east"), 7);
   ApplyEvacuation(state, west, 8);
   CHECK(IsEvacuated(state, "west"));
@@ -82,9 +82,9 @@
   ApplyEvacuation(machine.m_hosted, Order("west", true), 6);
   wire::Snapshot snapshot;
   snapshot.index = 6;
-  snapshot.state = SaveMachine(machine);
+  snapshot.state = SerializeStateMachine(machine);
   StateMachine loaded;
-  REQUIRE(LoadMachine(loaded, snapshot));
+  REQUIRE(RestoreStateMachine(loaded, snapshot));
   CHECK(loaded.m_hosted.m_evacuations == machine.m_hosted.m_evacuations);
   CHECK(IsEvacuated(loaded.m_hosted, "east"));
   CHECK(loaded.m_hosted.m_servers_index == 6);
@@ -110,40 +110,40 @@
 // ---- The platform's calls -----------------------------------------------------------------------
 
 TEST_CASE("calls that order an evacuation and its end are decoded") {
-  using platform::ControlCall;
-  using platform::DecodeControlCall;
-  const ControlCall order = DecodeControlCall("POST", "/-/evacuations/perth-a", "").value();
-  CHECK(order.m_kind == ControlCall::Kind::kOrderEvacuation);
+  using platform::ControlRequest;
+  using platform::DecodeControlRequest;
+  const ControlRequest order = DecodeControlRequest("POST", "/-/evacuations/perth-a", "").value();
+  CHECK(order.m_kind == ControlRequest::Kind::kOrderEvacuation);
   CHECK(order.m_evacuation == Order("perth-a"));
-  const ControlCall end = DecodeControlCall("DELETE", "/-/evacuations/perth-a", "").value();
-  CHECK(end.m_kind == ControlCall::Kind::kOrderEvacuation);
+  const ControlRequest end = DecodeControlRequest("DELETE", "/-/evacuations/perth-a", "").value();
+  CHECK(end.m_kind == ControlRequest::Kind::kOrderEvacuation);
   CHECK(end.m_evacuation == Order("perth-a", true));
   for (const char* method : {"GET", "PUT"})
-    CHECK(DecodeControlCall(method, "/-/evacuations/perth-a", "")->m_kind ==
-          ControlCall::Kind::kUnknown);
+    CHECK(DecodeControlRequest(method, "/-/evacuations/perth-a", "")->m_kind ==
+          ControlRequest::Kind::kUnknown);
   for (const char* target : {"/-/evacuations", "/-/evacuations/"})
-    CHECK(DecodeControlCall("POST", target, "")->m_kind == ControlCall::Kind::kUnknown);
+    CHECK(DecodeControlRequest("POST", target, "")->m_kind == ControlRequest::Kind::kUnknown);
 }
 
 TEST_CASE("an order for a data centre that nobody knows is told apart from one to be sent again") {
-  const platform::ControlCall call =
-      platform::DecodeControlCall("POST", "/-/evacuations/nowhere", "").value();
+  const platform::ControlRequest call =
+      platform::DecodeControlRequest("POST", "/-/evacuations/nowhere", "").value();
   wire::Body done;
   done.__set_done(true);
-  CHECK(platform::EncodeControlAnswer(call, done).m_status == 200);
+  CHECK(platform::EncodeControlResponse(call, done).m_status == 200);
   wire::ErrorReply unknown;
   unknown.code = static_cast<std::int32_t>(ResultCode::kNotFound);
   unknown.message = "data centre 'nowhere' is not in the settings";
   wire::Body refused;
   refused.__set_error(unknown);
-  const platform::ControlAnswer answer = platform::EncodeControlAnswer(call, refused);
+  const platform::ControlResponse answer = platform::EncodeControlResponse(call, refused);
   CHECK(answer.m_status == 404);
   CHECK(answer.m_body.find("nowhere") != std::string::npos);
   wire::ErrorReply none;
   none.code = static_cast<std::int32_t>(ResultCode::kNoMajority);
   wire::Body later;
   later.__set_error(none);
-  CHECK(platform::EncodeControlAnswer(call, later).m_status == 503);
+  CHECK(platform::EncodeControlResponse(call, later).m_status == 503);
 }
 
 // ---- The broker of places -----------------------------------------------------------------------
@@ -304,7 +304,7 @@
 // ---- An instance --------------------------------------------------------------------------------
 
 void Evacuate(Rig& rig, std::int64_t number, bool ended = false) {
-  rig.m_forwarder->Take(EvacuationsChanged{{Evacuated("east", number, ended)}});
+  rig.m_forwarder->HandleMessage(EvacuationsChanged{{Evacuated("east", number, ended)}});
 }
 
 TEST_CASE("a call whose connection comes up after the order sends nothing and goes elsewhere") {
@@ -359,12 +359,12 @@
   const Seen refused = Call(rig, Request("/safe/", "i"));
   CHECK(refused.status() == 503);
   CHECK(refused.m_millis < 80);  // Its aim would let it wait for 88 ms.
-  CHECK(rig.Refusals(std::string(Describe(ResultCode::kNoBackend).m_name)) == 1);
+  CHECK(rig.Refusals(std::string(ResultInfoOf(ResultCode::kNoBackend).m_name)) == 1);
   RegisterIn(rig, "west", "w", west);
   CHECK(Call(rig, Request("/safe/", "j")).status() == 200);
   CHECK(east.requests().empty());
   CHECK(west.requests().size() == 1);
-  rig.m_forwarder->Take(ServersChanged{{rig.Record("w", west, wire::ServerStage::GONE)}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{rig.Record("w", west, wire::ServerStage::GONE)}});
   Evacuate(rig, 2, true);
   CHECK(Call(rig, Request("/safe/", "k")).status() == 200);
   CHECK(east.requests().size() == 1);
--- a/tests/fake_broker.h
+++ b/tests/fake_broker.h
@@ -13,13 +13,14 @@
 /// Notes what the forwarder sends; the test answers.
 struct FakeBroker {
   std::vector<SlotBatch> m_batches;
-  int m_silent = 0;
+  int m_unresponsive_count = 0;
 
   explicit FakeBroker(Rig& rig, std::int64_t epoch = 1) {
-    rig.m_forwarder->SetBroker({[this](SlotBatch batch) { m_batches.push_back(std::move(batch)); },
-                                [this] { ++m_silent; }});
-    rig.m_forwarder->Take(FleetSize{4});
-    rig.m_forwarder->Take(BrokerFound{epoch});
+    rig.m_forwarder->SetBrokerPort(
+        {[this](SlotBatch batch) { m_batches.push_back(std::move(batch)); },
+         [this] { ++m_unresponsive_count; }});
+    rig.m_forwarder->HandleMessage(LiveInstanceCount{4});
+    rig.m_forwarder->HandleMessage(BrokerConnected{epoch});
   }
   [[nodiscard]] std::vector<SlotRequest> Asks() const {
     std::vector<SlotRequest> slot_requests;
@@ -55,7 +56,7 @@
   answer.m_ref = ref;
   answer.m_verdict = verdict;
   answer.m_server = server;
-  rig.m_forwarder->Take(PlacesAnswered{1, {answer}});
+  rig.m_forwarder->HandleMessage(SlotResponses{1, {answer}});
 }
 
 /// A script of a server that answers each request well.
@@ -70,7 +71,7 @@
                        const ScriptedServer& server) {
   wire::ServerRecord record = rig.Record(id, server);
   record.data_centre = data_centre;
-  rig.m_forwarder->Take(ServersChanged{{record}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{record}});
 }
 
 }  // namespace poppyway
--- a/tests/forwarder_restarts_test.cc
+++ b/tests/forwarder_restarts_test.cc
@@ -26,7 +26,7 @@
 void Live(Rig& rig, const std::string& id, const ScriptedServer& server, std::int64_t started_ms) {
   wire::ServerRecord record = rig.Record(id, server);
   record.born = started_ms;
-  rig.m_forwarder->Take(ServersChanged{{record}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{record}});
 }
 
 const Backend& BackendOf(Rig& rig, const std::string& id) {
@@ -67,7 +67,7 @@
   Live(rig, "s0", new_place, 9);
   wire::ServerRecord late = rig.Record("s0", old_place, wire::ServerStage::LEAVING);
   late.born = 5;
-  rig.m_forwarder->Take(ServersChanged{{late}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{late}});
   CHECK(Call(rig, Request("/once/", "a")).status() == 200);
   CHECK(old_place.requests().empty());
 }
@@ -194,7 +194,7 @@
   Live(rig, "s0", old_place, 5);
   wire::ServerRecord drained = rig.Record("s0", old_place, wire::ServerStage::LEAVING);
   drained.born = 5;
-  rig.m_forwarder->Take(ServersChanged{{drained}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{drained}});
   FakeBroker broker(rig);
   Pending call(rig, Request("/once/", "a"));
   rig.RunUntil([&] { return !broker.Asks().empty(); });
@@ -204,12 +204,12 @@
   answer.m_started_ms = 9;
   answer.m_address = "127.0.0.1";
   answer.m_port = new_place.port();
-  rig.m_forwarder->Take(PlacesAnswered{1, {answer}});
+  rig.m_forwarder->HandleMessage(SlotResponses{1, {answer}});
   CHECK(call.Finish(rig).status() == 200);
   CHECK(new_place.requests().size() == 1);
   CHECK(old_place.requests().empty());
   // The news that comes later tells nothing new.
-  rig.m_forwarder->Take(ServersChanged{{drained}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{drained}});
   CHECK_FALSE(BackendOf(rig, "s0").m_leaving);
 }
 
