--- a/tests/forwarder_rig.h
+++ b/tests/forwarder_rig.h
@@ -86,7 +86,7 @@
 
 /// A forwarder on a loop of the test's thread, with servers that are known by the ids s0, s1, ...
 struct Rig {
-  TaskLoop m_loop;
+  EventLoop m_loop;
   ForwarderSettings m_settings;
   std::unique_ptr<Forwarder> m_forwarder;
   std::int64_t m_index = 1;
@@ -97,8 +97,9 @@
     Result<void> listening;
     // A free port may be taken by another test's process before we listen on it.
     for (int i = 0; i < kPortTries; ++i) {
-      m_settings.m_callers = {"127.0.0.1", FreePort()};
-      m_forwarder = std::make_unique<Forwarder>(m_loop, m_settings, platform::MakeDialect());
+      m_settings.m_caller_endpoint = {"127.0.0.1", FreePort()};
+      m_forwarder =
+          std::make_unique<Forwarder>(m_loop, m_settings, platform::MakeProtocolAdapter());
       listening = m_forwarder->Listen();
       if (listening)
         break;
@@ -111,9 +112,9 @@
     wire::Document document;
     document.version = version;
     document.body = body;
-    m_forwarder->Take(NewDocument{std::make_shared<const wire::Document>(document)});
+    m_forwarder->HandleMessage(NewDocument{std::make_shared<const wire::Document>(document)});
   }
-  void Confirm(Duration time) { m_forwarder->Take(ConfirmedUntil{ReadClock() + time}); }
+  void Confirm(Duration time) { m_forwarder->HandleMessage(ConfirmedUntil{ReadClock() + time}); }
   [[nodiscard]] wire::ServerRecord Record(
       const std::string& id,
       const ScriptedServer& server,
@@ -131,7 +132,7 @@
   void Register(const std::string& id,
                 const ScriptedServer& server,
                 wire::ServerStage::type stage = wire::ServerStage::READY) {
-    m_forwarder->Take(ServersChanged{{Record(id, server, stage)}});
+    m_forwarder->HandleMessage(ServersChanged{{Record(id, server, stage)}});
   }
   /// Runs the loop until `met`, for a second at most.
   void RunUntil(const std::function<bool()>& met) {
@@ -195,9 +196,9 @@
   Pending(Rig& rig, std::string request, int leave_after_ms = -1, bool await_close = false)
       : m_limit_ms(leave_after_ms >= 0 ? leave_after_ms : kCallerMillis),
         m_await_close(await_close),
-        m_caller([this, port = rig.m_settings.m_callers.m_port, request = std::move(request)] {
-          Run(port, request);
-        }) {}
+        m_caller([this,
+                  port = rig.m_settings.m_caller_endpoint.m_port,
+                  request = std::move(request)] { Run(port, request); }) {}
   ~Pending() {
     Leave();
     if (m_caller.joinable())
--- a/tests/forwarder_test.cc
+++ b/tests/forwarder_test.cc
@@ -145,7 +145,7 @@
   newer.index = 9;
   wire::ServerRecord older = rig.Record("z-old", server);
   older.index = 3;
-  rig.m_forwarder->Take(ServersChanged{{newer, older}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{newer, older}});
   for (int i = 0; i < 4; ++i)
     CHECK(Call(rig, Request("/once/", "i" + std::to_string(i))).status() == 200);
   CHECK(server.requests().size() == 4);
@@ -362,29 +362,29 @@
   ScriptedServer server([](const std::string& request) { return Answer(request, "ok"); });
   Rig rig;
   rig.Register("s0", server);
-  rig.m_forwarder->BeginStop();
+  rig.m_forwarder->BeginShutdown();
   const Seen served = Call(rig, Request("/once/", "i"));
   CHECK(served.status() == 200);
   CHECK(served.m_bytes.find("connection: close\r\n") != std::string::npos);
-  CHECK_FALSE(rig.m_forwarder->Stopped());
-  rig.m_forwarder->state().m_stop_begun = ReadClock() - Duration(6'500'000);
+  CHECK_FALSE(rig.m_forwarder->ShutdownComplete());
+  rig.m_forwarder->state().m_shutdown_started = ReadClock() - Duration(6'500'000);
   const Seen away = Call(rig, Request("/once/", "j"));
   CHECK(away.status() == 503);
   // Any other instance can serve it now.
   CHECK(away.m_bytes.find("retry-after: 0.000\r\n") != std::string::npos);
   CHECK(away.m_bytes.find("connection: close\r\n") != std::string::npos);
   CHECK(server.requests().size() == 1);
-  CHECK(rig.m_forwarder->Stopped());
+  CHECK(rig.m_forwarder->ShutdownComplete());
 }
 
 TEST_CASE("a stopping instance still serves what must end before the stop's limit") {
   ScriptedServer server([](const std::string& request) { return Answer(request, "ok"); });
   Rig rig;
   rig.Register("s0", server);
-  rig.m_forwarder->BeginStop();
-  rig.m_forwarder->state().m_stop_begun = ReadClock() - Duration(3'500'000);
+  rig.m_forwarder->BeginShutdown();
+  rig.m_forwarder->state().m_shutdown_started = ReadClock() - Duration(3'500'000);
   CHECK(Call(rig, Request("/once/", "j")).status() == 200);
-  rig.m_forwarder->state().m_stop_begun = ReadClock() - Duration(6'500'000);
+  rig.m_forwarder->state().m_shutdown_started = ReadClock() - Duration(6'500'000);
   CHECK(Call(rig, Request("/once/", "k")).status() == 503);
   CHECK(server.requests().size() == 1);
 }
@@ -398,7 +398,7 @@
   });
   Rig rig;
   rig.Register("s0", server);
-  RepeatingTimer stop(rig.m_loop, 100, [&rig] { rig.m_forwarder->BeginStop(); });
+  RepeatingTimer stop(rig.m_loop, 100, [&rig] { rig.m_forwarder->BeginShutdown(); });
   const Seen seen = Call(rig, Request("/stream/", "i"), 800, true);
   CHECK(IsWhole(seen.m_bytes));
   CHECK(seen.m_closed);
--- a/tests/heartbeat_test.cc
+++ b/tests/heartbeat_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 using Json = nlohmann::json;
-using Fault = HeartbeatFault;
+using Fault = HeartbeatError;
 constexpr std::string_view kTarget = "/-/instances/i-1";
 
 Json Heartbeat() {
@@ -32,20 +32,20 @@
   Json json = Heartbeat();
   json[key] = std::move(value);
   const std::string body = json.dump();
-  const std::optional<Fault> fault = HeartbeatFaultOf("PUT", kTarget, body);
-  CHECK(DecodeControlCall("PUT", kTarget, body).has_value() == !fault);
+  const std::optional<Fault> fault = FindHeartbeatError("PUT", kTarget, body);
+  CHECK(DecodeControlRequest("PUT", kTarget, body).has_value() == !fault);
   return fault;
 }
 
 std::optional<Fault> FaultWithout(const char* key) {
   Json json = Heartbeat();
   json.erase(key);
-  return HeartbeatFaultOf("PUT", kTarget, json.dump());
+  return FindHeartbeatError("PUT", kTarget, json.dump());
 }
 
 TEST_CASE("a heartbeat tells all that is known of a server") {
-  const ControlCall call = DecodeControlCall("PUT", kTarget, Heartbeat().dump()).value();
-  CHECK(call.m_kind == ControlCall::Kind::kServerSeen);
+  const ControlRequest call = DecodeControlRequest("PUT", kTarget, Heartbeat().dump()).value();
+  CHECK(call.m_kind == ControlRequest::Kind::kServerHeartbeat);
   const wire::ServerRecord& server = call.m_server;
   CHECK(server.id == "i-1");
   CHECK(server.pool == "llm");
@@ -114,13 +114,13 @@
 TEST_CASE("bytes that can't be read name no server") {
   const std::string whole = Heartbeat().dump();
   for (std::size_t length = 0; length < whole.size(); ++length)
-    CHECK(HeartbeatFaultOf("PUT", kTarget, whole.substr(0, length)) == Fault::kBytes);
+    CHECK(FindHeartbeatError("PUT", kTarget, whole.substr(0, length)) == Fault::kBytes);
   std::string no_text = whole;
   no_text[no_text.find("llm")] = static_cast<char>(0xff);
-  CHECK(HeartbeatFaultOf("PUT", kTarget, no_text) == Fault::kBytes);
-  CHECK(HeartbeatFaultOf("PUT", kTarget, "[1]") == Fault::kBytes);
-  CHECK(HeartbeatFaultOf("PUT", kTarget, std::string(1 << 20, ' ') + whole) == Fault::kBytes);
-  CHECK(EncodeControlError(DecodeControlCall("PUT", kTarget, "?").error()).m_status == 400);
+  CHECK(FindHeartbeatError("PUT", kTarget, no_text) == Fault::kBytes);
+  CHECK(FindHeartbeatError("PUT", kTarget, "[1]") == Fault::kBytes);
+  CHECK(FindHeartbeatError("PUT", kTarget, std::string(1 << 20, ' ') + whole) == Fault::kBytes);
+  CHECK(EncodeControlError(DecodeControlRequest("PUT", kTarget, "?").error()).m_status == 400);
 }
 
 TEST_CASE("an id that is no text of a sane length names no server, alive or gone") {
@@ -128,21 +128,21 @@
   for (const std::string& id :
        {std::string("\xff\xfe"), std::string(257, 'x'), std::string("a\x01b")}) {
     const std::string target = "/-/instances/" + id;
-    CHECK(HeartbeatFaultOf("PUT", target, body) == Fault::kId);
-    CHECK(HeartbeatFaultOf("DELETE", target, "") == Fault::kId);
-    CHECK_FALSE(DecodeControlCall("PUT", target, body).has_value());
-    CHECK_FALSE(DecodeControlCall("DELETE", target, "").has_value());
+    CHECK(FindHeartbeatError("PUT", target, body) == Fault::kId);
+    CHECK(FindHeartbeatError("DELETE", target, "") == Fault::kId);
+    CHECK_FALSE(DecodeControlRequest("PUT", target, body).has_value());
+    CHECK_FALSE(DecodeControlRequest("DELETE", target, "").has_value());
   }
-  CHECK_FALSE(HeartbeatFaultOf("DELETE", kTarget, ""));
-  CHECK_FALSE(HeartbeatFaultOf("PUT", "/-/config", "?"));
-  CHECK_FALSE(HeartbeatFaultOf("PUT", "/-/instances/caf\xc3\xa9", body));
+  CHECK_FALSE(FindHeartbeatError("DELETE", kTarget, ""));
+  CHECK_FALSE(FindHeartbeatError("PUT", "/-/config", "?"));
+  CHECK_FALSE(FindHeartbeatError("PUT", "/-/instances/caf\xc3\xa9", body));
 }
 
 TEST_CASE("each fault of a heartbeat has its own name") {
   std::set<std::string_view> names;
-  for (std::size_t i = 0; i < kHeartbeatFaults; ++i)
-    names.insert(HeartbeatFaultName(static_cast<Fault>(i)));
-  CHECK(names.size() == kHeartbeatFaults);
+  for (std::size_t i = 0; i < kHeartbeatErrorCount; ++i)
+    names.insert(HeartbeatErrorName(static_cast<Fault>(i)));
+  CHECK(names.size() == kHeartbeatErrorCount);
   CHECK_FALSE(names.contains("unknown"));
 }
 
--- a/tests/hosted_news_test.cc
+++ b/tests/hosted_state_poller_test.cc
@@ -4,7 +4,7 @@
 // pieces, and news of servers don't wait for documents.
 #include <catch2/catch.hpp>
 
-#include "poppyway/news.h"
+#include "poppyway/polling.h"
 
 namespace poppyway {
 namespace {
@@ -23,15 +23,15 @@
 /// Members that answer when told to, and what the reader handed on.
 class Members {
  public:
-  Members() : m_news(Port()) {}
+  Members() : m_poller(Port()) {}
 
   /// Lets time pass; the reader hears from the leader's heartbeats what it has.
   void Pass(int millis) {
     for (int passed = 0; passed < millis; passed += kTickMillis) {
       m_now += Duration(kTickMillis * 1000);
       if (m_arriving)
-        m_last_read = m_now;
-      m_news.Tick(m_leader_document, m_leader_servers, m_now);
+        m_last_receive_time = m_now;
+      m_poller.Tick(m_leader_document, m_leader_servers, m_now);
     }
   }
 
@@ -88,22 +88,22 @@
   std::int64_t m_leader_document = 0;
   std::int64_t m_leader_servers = 0;
   bool m_arriving = false;  // Bytes come all the time.
-  Instant m_last_read{};
+  Instant m_last_receive_time{};
   std::deque<Asked> m_asked;
   std::vector<std::size_t> m_avoided;
   std::vector<std::int64_t> m_servers;  // Indexes that were handed on.
   std::vector<std::shared_ptr<const wire::Document>> m_documents;
-  HostedNews m_news;
+  HostedStatePoller m_poller;
 
  private:
-  NewsPort Port() {
-    NewsPort port;
-    port.m_ask = [this](std::size_t member, wire::Body body, Duration /*timeout*/,
-                        PeerClient::OnReply reply) {
+  PollerCallbacks Port() {
+    PollerCallbacks port;
+    port.m_call_member = [this](std::size_t member, wire::Body body, Duration /*timeout*/,
+                                PeerClient::OnReply reply) {
       m_asked.push_back({member, std::move(body), std::move(reply)});
     };
-    port.m_last_read = [this](std::size_t /*member*/) { return m_last_read; };
-    port.m_nearest = [](Instant /*now*/) { return kNear; };
+    port.m_last_receive_time = [this](std::size_t /*member*/) { return m_last_receive_time; };
+    port.m_choose_member = [](Instant /*now*/) { return kNear; };
     port.m_avoid = [this](std::size_t member, Instant /*now*/) { m_avoided.push_back(member); };
     port.m_leader = [] { return kLeader; };
     port.m_on_leader = [](const wire::ConfigDelta& /*delta*/) {};
@@ -168,7 +168,8 @@
   Members members;
   members.Pass(50);
   const wire::Document first = Document(3, "three");
-  Members::Answer(*members.Polls(wire::NewsKind::DOCUMENT)[0], Members::Steps({WholeOf(first)}));
+  Members::Answer(*members.Polls(wire::NewsKind::DOCUMENT)[0],
+                  Members::Steps({FullDocumentChange(first)}));
   REQUIRE(members.m_documents.size() == 1);
   CHECK(*members.m_documents[0] == first);
   members.Pass(1'000);
@@ -180,9 +181,10 @@
   members.Pass(50);
   const std::vector<wire::Document> versions{Document(1, "one"), Document(4, "one, four"),
                                              Document(6, "six")};
-  Members::Answer(*members.Polls(wire::NewsKind::DOCUMENT)[0],
-                  Members::Steps({WholeOf(versions[0]), ChangeBetween(versions[0], versions[1]),
-                                  ChangeBetween(versions[1], versions[2])}));
+  Members::Answer(
+      *members.Polls(wire::NewsKind::DOCUMENT)[0],
+      Members::Steps({FullDocumentChange(versions[0]), DiffDocuments(versions[0], versions[1]),
+                      DiffDocuments(versions[1], versions[2])}));
   REQUIRE(members.m_documents.size() == 1);
   CHECK(*members.m_documents[0] == versions[2]);
 }
@@ -192,7 +194,7 @@
   Members members;
   members.Pass(50);
   const wire::Document document = Document(5, "a text that is long enough for three pieces");
-  const wire::DocumentChange step = WholeOf(document);
+  const wire::DocumentChange step = FullDocumentChange(document);
   Members::Answer(*members.Polls(wire::NewsKind::DOCUMENT)[0],
                   Members::Steps({WithoutEdits(step)}));
   const std::size_t third = step.edits.size() / 3;
@@ -216,7 +218,7 @@
 TEST_CASE("where a piece doesn't come, another member is asked") {
   Members members;
   members.Pass(50);
-  const wire::DocumentChange step = WholeOf(Document(5, "five"));
+  const wire::DocumentChange step = FullDocumentChange(Document(5, "five"));
   Members::Answer(*members.Polls(wire::NewsKind::DOCUMENT)[0],
                   Members::Steps({WithoutEdits(step)}));
   Members::Answer(*members.Pieces()[0], Fail(ResultCode::kPeerUnreachable, "no reply in time"));
@@ -231,11 +233,12 @@
   members.Pass(50);
   const wire::Document newest = Document(8, "eight");
   Members::Answer(*members.Polls(wire::NewsKind::DOCUMENT)[0],
-                  Members::Steps({WithoutEdits(WholeOf(Document(5, "five")))}));
+                  Members::Steps({WithoutEdits(FullDocumentChange(Document(5, "five")))}));
   Members::Answer(*members.Pieces()[0], Members::Piece(""));
   CHECK(members.m_avoided.empty());
   members.Pass(100);
-  Members::Answer(*members.Polls(wire::NewsKind::DOCUMENT)[0], Members::Steps({WholeOf(newest)}));
+  Members::Answer(*members.Polls(wire::NewsKind::DOCUMENT)[0],
+                  Members::Steps({FullDocumentChange(newest)}));
   CHECK(*members.m_documents.back() == newest);
 }
 
@@ -244,10 +247,11 @@
   members.Pass(50);
   const wire::Document first = Document(1, "one");
   const wire::Document second = Document(2, "two");
-  Members::Answer(*members.Polls(wire::NewsKind::DOCUMENT)[0], Members::Steps({WholeOf(first)}));
+  Members::Answer(*members.Polls(wire::NewsKind::DOCUMENT)[0],
+                  Members::Steps({FullDocumentChange(first)}));
   members.m_now = ReadClock() + Duration(1'000'000);
   members.Pass(100);
-  wire::DocumentChange wrong = ChangeBetween(first, second);
+  wire::DocumentChange wrong = DiffDocuments(first, second);
   ++wrong.digest;
   Members::Answer(*members.Polls(wire::NewsKind::DOCUMENT)[0], Members::Steps({wrong}));
   CHECK(members.m_documents.size() == 1);
@@ -255,7 +259,7 @@
   members.Pass(100);
   Asked& anew = *members.Polls(wire::NewsKind::DOCUMENT)[0];
   CHECK(anew.m_body.poll.have_document == 0);
-  Members::Answer(anew, Members::Steps({WholeOf(second)}));
+  Members::Answer(anew, Members::Steps({FullDocumentChange(second)}));
   CHECK(*members.m_documents.back() == second);
 }
 
@@ -263,13 +267,13 @@
   Members members;
   members.Pass(50);
   Members::Answer(*members.Polls(wire::NewsKind::DOCUMENT)[0],
-                  Members::Steps({WholeOf(Document(9, "nine"))}));
+                  Members::Steps({FullDocumentChange(Document(9, "nine"))}));
   members.m_now = ReadClock() + Duration(1'000'000);
   members.Pass(100);
   Members::Answer(*members.Polls(wire::NewsKind::DOCUMENT)[0],
-                  Members::Steps({WholeOf(Document(7, "seven"))}));
+                  Members::Steps({FullDocumentChange(Document(7, "seven"))}));
   CHECK(members.m_documents.size() == 1);
-  CHECK(members.m_news.document_version() == 9);
+  CHECK(members.m_poller.document_version() == 9);
 }
 
 }  // namespace
--- a/tests/hosted_state_test.cc
+++ b/tests/hosted_state_test.cc
@@ -103,9 +103,9 @@
   (void)ApplyEntry(machine, Entry(2, server));
   wire::Snapshot snapshot;
   snapshot.index = 2;
-  snapshot.state = SaveMachine(machine);
+  snapshot.state = SerializeStateMachine(machine);
   StateMachine loaded;
-  REQUIRE(LoadMachine(loaded, snapshot));
+  REQUIRE(RestoreStateMachine(loaded, snapshot));
   CHECK(loaded.m_hosted.m_document == machine.m_hosted.m_document);
   CHECK(loaded.m_hosted.m_servers == machine.m_hosted.m_servers);
   CHECK(loaded.m_hosted.m_servers_index == 2);
--- a/tests/incarnation_test.cc
+++ b/tests/incarnation_test.cc
@@ -146,18 +146,19 @@
     return record;
   };
   const std::set<std::string> named = {"models"};
-  for (std::size_t i = 0; i < kUnnamedServers; ++i) {
+  for (std::size_t i = 0; i < kMaxUnlistedPoolServers; ++i) {
     const wire::ServerRecord record = server("u" + std::to_string(i), "nowhere");
-    CHECK_FALSE(IsOneTooMany(state, named, record));
+    CHECK_FALSE(ExceedsUnlistedPoolLimit(state, named, record));
     state.m_servers[record.id] = record;
   }
-  CHECK(IsOneTooMany(state, named, server("one more", "nowhere")));
-  CHECK(IsOneTooMany(state, named, server("one more", "elsewhere")));
-  CHECK_FALSE(IsOneTooMany(state, named, server("one more", "models")));
-  CHECK_FALSE(IsOneTooMany(state, named, server("u0", "elsewhere")));  // It is kept already.
-  CHECK_FALSE(IsOneTooMany(state, named, Removal()));
+  CHECK(ExceedsUnlistedPoolLimit(state, named, server("one more", "nowhere")));
+  CHECK(ExceedsUnlistedPoolLimit(state, named, server("one more", "elsewhere")));
+  CHECK_FALSE(ExceedsUnlistedPoolLimit(state, named, server("one more", "models")));
+  CHECK_FALSE(
+      ExceedsUnlistedPoolLimit(state, named, server("u0", "elsewhere")));  // It is kept already.
+  CHECK_FALSE(ExceedsUnlistedPoolLimit(state, named, Removal()));
   state.m_servers.at("u0").stage = kGone;
-  CHECK_FALSE(IsOneTooMany(state, named, server("one more", "nowhere")));
+  CHECK_FALSE(ExceedsUnlistedPoolLimit(state, named, server("one more", "nowhere")));
 }
 
 }  // namespace
--- a/tests/instance_table_test.cc
+++ b/tests/instance_table_test.cc
@@ -30,18 +30,18 @@
 }  // namespace
 
 TEST_CASE("a lease moves only after its silent holder has surely stopped acting", "[instances]") {
-  InstanceTable table = BeginLeading(kLease, kMargin, At(-10'000));
-  TakeHeartbeat(table, Beat("a"), At(0));
-  const auto first = DueLeases(table, {"pool"}, {}, At(0));
+  InstanceTable table = MakeInstanceTable(kLease, kMargin, At(-10'000));
+  RecordHeartbeat(table, Beat("a"), At(0));
+  const auto first = PlanLeaseGrants(table, {"pool"}, {}, At(0));
   REQUIRE(first.size() == 1);
-  TakeHeartbeat(table, Beat("b"), At(100));
+  RecordHeartbeat(table, Beat("b"), At(100));
   // The holder's last heartbeat was at 0: it may act until 3000, by its own clock.
-  TakeHeartbeat(table, Beat("b"), At(3300));
+  RecordHeartbeat(table, Beat("b"), At(3300));
   ExpireInstances(table, {}, At(3400));
-  CHECK(DueLeases(table, {"pool"}, Held(first[0]), At(3400)).empty());
-  TakeHeartbeat(table, Beat("b"), At(3500));
+  CHECK(PlanLeaseGrants(table, {"pool"}, Held(first[0]), At(3400)).empty());
+  RecordHeartbeat(table, Beat("b"), At(3500));
   ExpireInstances(table, {}, At(3500));
-  const auto second = DueLeases(table, {"pool"}, Held(first[0]), At(3500));
+  const auto second = PlanLeaseGrants(table, {"pool"}, Held(first[0]), At(3500));
   REQUIRE(second.size() == 1);
   CHECK(second[0].holder == "b-1");
   CHECK(second[0].epoch == first[0].epoch + 1);
@@ -52,39 +52,39 @@
   grant.lease = "pool";
   grant.holder = "a-1";
   grant.epoch = 4;
-  InstanceTable table = BeginLeading(kLease, kMargin, At(0));
-  TakeHeartbeat(table, Beat("b"), At(10));
-  CHECK(DueLeases(table, {"pool"}, Held(grant), At(3000)).empty());
-  TakeHeartbeat(table, Beat("b"), At(3400));
-  CHECK(DueLeases(table, {"pool"}, Held(grant), At(3500)).size() == 1);
+  InstanceTable table = MakeInstanceTable(kLease, kMargin, At(0));
+  RecordHeartbeat(table, Beat("b"), At(10));
+  CHECK(PlanLeaseGrants(table, {"pool"}, Held(grant), At(3000)).empty());
+  RecordHeartbeat(table, Beat("b"), At(3400));
+  CHECK(PlanLeaseGrants(table, {"pool"}, Held(grant), At(3500)).size() == 1);
 }
 
 TEST_CASE("a stopping holder gives its lease away at once", "[instances]") {
-  InstanceTable table = BeginLeading(kLease, kMargin, At(0));
-  TakeHeartbeat(table, Beat("a"), At(0));
-  const auto first = DueLeases(table, {"pool"}, {}, At(0));
-  TakeHeartbeat(table, Beat("b"), At(1));
+  InstanceTable table = MakeInstanceTable(kLease, kMargin, At(0));
+  RecordHeartbeat(table, Beat("a"), At(0));
+  const auto first = PlanLeaseGrants(table, {"pool"}, {}, At(0));
+  RecordHeartbeat(table, Beat("b"), At(1));
   wire::Heartbeat stopping = Beat("a");
   stopping.stopping = true;
-  TakeHeartbeat(table, stopping, At(2));
-  const auto second = DueLeases(table, {"pool"}, Held(first[0]), At(2));
+  RecordHeartbeat(table, stopping, At(2));
+  const auto second = PlanLeaseGrants(table, {"pool"}, Held(first[0]), At(2));
   REQUIRE(second.size() == 1);
   CHECK(second[0].holder == "b-1");
 }
 
 TEST_CASE("a restarted instance ends its former run", "[instances]") {
-  InstanceTable table = BeginLeading(kLease, kMargin, At(0));
-  TakeHeartbeat(table, Beat("a", "1"), At(0));
-  TakeHeartbeat(table, Beat("a", "2"), At(10));
-  CHECK(table.m_gone == std::set<std::string>{"a-1"});
+  InstanceTable table = MakeInstanceTable(kLease, kMargin, At(0));
+  RecordHeartbeat(table, Beat("a", "1"), At(0));
+  RecordHeartbeat(table, Beat("a", "2"), At(10));
+  CHECK(table.m_ended_incarnations == std::set<std::string>{"a-1"});
   CHECK(table.m_live.size() == 1);
 }
 
 TEST_CASE("owners of running claims that never show up to a new leader are gone in time",
           "[instances]") {
-  InstanceTable table = BeginLeading(kLease, kMargin, At(0));
+  InstanceTable table = MakeInstanceTable(kLease, kMargin, At(0));
   ExpireInstances(table, {"dead-1"}, At(3000));
-  CHECK(table.m_gone.empty());
+  CHECK(table.m_ended_incarnations.empty());
   ExpireInstances(table, {"dead-1"}, At(3500));
-  CHECK(table.m_gone.contains("dead-1"));
+  CHECK(table.m_ended_incarnations.contains("dead-1"));
 }
--- a/tests/log_cluster.cc
+++ b/tests/log_cluster.cc
@@ -74,8 +74,8 @@
     }
     // A cluster whose formation is lost is formed anew, which no schedule plays.
     m_healed = true;
-    Perform(0, FormLog(m_members[0].m_node, membership, m_now));
-    if (m_members[0].m_node.m_save_under_way)
+    Perform(0, BootstrapLog(m_members[0].m_node, membership, m_now));
+    if (m_members[0].m_node.m_save_in_progress)
       EndSave(0);
     m_healed = false;
   }
@@ -96,9 +96,9 @@
     member.m_node.m_cluster = "test";
     member.m_node.m_random.seed(m_random());
     if (member.m_disk.m_snapshot)
-      (void)LoadMachine(member.m_machine, *member.m_disk.m_snapshot);
+      (void)RestoreStateMachine(member.m_machine, *member.m_disk.m_snapshot);
     if (m_spec.m_vote_is_forgotten)
-      member.m_disk.m_hard.vote = 0;
+      member.m_disk.m_hard_state.vote = 0;
     RestoreLog(member.m_node, member.m_disk);
     member.m_up = true;
     member.m_frozen_until = {};
@@ -130,7 +130,7 @@
     if (leader == nullptr)
       return false;
     const wire::Membership& membership = leader->m_node.m_membership;
-    if (leader->m_node.m_membership_index > leader->m_node.m_commit)
+    if (leader->m_node.m_membership_index > leader->m_node.m_commit_index)
       return false;
     return std::all_of(m_members.begin(), m_members.end(), [&](const Member& member) {
       return IsVoter(membership, member.m_disk.m_id);
@@ -179,7 +179,7 @@
       Member& member = m_members[i];
       if (!Runs(member))
         continue;
-      if (member.m_node.m_save_under_way && m_now >= member.m_save_ends)
+      if (member.m_node.m_save_in_progress && m_now >= member.m_save_ends)
         EndSave(i);
       if (!member.m_up)
         continue;
@@ -200,7 +200,8 @@
       if (member.m_up && FindMember(leader.m_node.m_membership, member.m_disk.m_id) == nullptr)
         strangers.push_back(InfoOf(member, false));
     }
-    const std::optional<wire::Membership> due = DueMembership(leader.m_node, strangers, m_now);
+    const std::optional<wire::Membership> due =
+        PlanMembershipChange(leader.m_node, strangers, m_now);
     if (!due)
       return;
     LogEffects effects;
@@ -238,7 +239,7 @@
     }
     if (effects.m_install) {
       ++m_report.m_snapshots_installed;
-      (void)LoadMachine(member.m_machine, *effects.m_install);
+      (void)RestoreStateMachine(member.m_machine, *effects.m_install);
     }
     SendOrHold(i, std::exchange(effects.m_send, {}));
     for (const wire::LogEntry& entry : std::exchange(effects.m_committed, {}))
@@ -252,21 +253,21 @@
     Member& member = m_members[i];
     std::vector<wire::LogMessage> allowed;
     for (wire::LogMessage& message : messages) {
-      if (MaySend(member.m_node, message))
+      if (IsSafeToSend(member.m_node, message))
         allowed.push_back(std::move(message));
       else
-        HoldMessage(member.m_held, std::move(message));
+        DeferMessage(member.m_held, std::move(message));
     }
     Send(i, allowed);
   }
 
   void BeginSave(std::size_t i) {
     Member& member = m_members[i];
-    if (member.m_node.m_save_under_way)
+    if (member.m_node.m_save_in_progress)
       return;
-    const bool compact =
-        member.m_machine.m_applied - member.m_node.m_snapshot_index >= m_spec.m_snapshot_every &&
-        !member.m_unsaved.m_install;
+    const bool compact = member.m_machine.m_applied_index - member.m_node.m_snapshot_index >=
+                             m_spec.m_snapshot_every &&
+                         !member.m_unsaved.m_install;
     if (!compact && !member.m_unsaved.NeedsSync())
       return;
     if (!m_healed && Chance(m_spec.m_crash / 20)) {
@@ -275,11 +276,11 @@
       return;
     }
     if (compact)
-      member.m_compacting =
-          CompactLog(member.m_node, member.m_machine.m_applied, SaveMachine(member.m_machine));
+      member.m_compacting = CompactLog(member.m_node, member.m_machine.m_applied_index,
+                                       SerializeStateMachine(member.m_machine));
     member.m_saving_node = member.m_node;
     member.m_saving = std::exchange(member.m_unsaved, {});
-    BeforeSync(member.m_node);
+    BeginLogSave(member.m_node);
     if (m_spec.m_save_steps > 0)
       member.m_save_ends =
           m_now + kStep * static_cast<std::int64_t>(m_random() %
@@ -295,7 +296,7 @@
       Crash(member);  // After the save, before what rests on it is sent.
       return;
     }
-    LogEffects effects = AfterSync(member.m_node);
+    LogEffects effects = FinishLogSave(member.m_node);
     SendOrHold(i, std::exchange(member.m_held, {}));
     Perform(i, std::move(effects));
   }
@@ -307,7 +308,7 @@
     std::optional<wire::Snapshot> snapshot = std::exchange(member.m_compacting, std::nullopt);
     if (!snapshot && effects.m_install)
       snapshot = effects.m_install;
-    disk.m_hard = node.m_hard;
+    disk.m_hard_state = node.m_hard_state;
     if (snapshot) {
       disk.m_snapshot = snapshot;
       disk.m_entries.assign(node.m_entries.begin(), node.m_entries.end());
@@ -352,7 +353,7 @@
   void NoteLeader(const Member& member) {
     if (member.m_node.m_role != Role::kLeader)
       return;
-    const std::int64_t term = member.m_node.m_hard.term;
+    const std::int64_t term = member.m_node.m_hard_state.term;
     const auto [entry, added] = m_leader_of_term.emplace(term, member.m_disk.m_id);
     if (added)
       ++m_report.m_leaders;
@@ -361,9 +362,9 @@
   }
 
   void Apply(Member& member, const wire::LogEntry& entry) {
-    if (entry.index <= member.m_machine.m_applied)
+    if (entry.index <= member.m_machine.m_applied_index)
       return;
-    if (entry.index != member.m_machine.m_applied + 1)
+    if (entry.index != member.m_machine.m_applied_index + 1)
       Violate("gap before index " + std::to_string(entry.index));
     const std::int64_t version_before = member.m_machine.m_configuration.m_version;
     const wire::CommandResult result = ApplyEntry(member.m_machine, entry);
@@ -397,7 +398,7 @@
     const Result<std::int64_t> index =
         ProposeLog(member.m_node, {NextCommand(member)}, effects, m_now);
     if (index)
-      member.m_proposed[*index] = member.m_node.m_hard.term;
+      member.m_proposed[*index] = member.m_node.m_hard_state.term;
     Perform(i, std::move(effects));
   }
 
@@ -441,10 +442,10 @@
     }
     std::set<std::string> states;
     for (const Member& member : m_members) {
-      if (member.m_machine.m_applied < last)
-        Violate(member.m_name + " applied " + std::to_string(member.m_machine.m_applied) + " of " +
-                std::to_string(last));
-      states.insert(SaveMachine(member.m_machine));
+      if (member.m_machine.m_applied_index < last)
+        Violate(member.m_name + " applied " + std::to_string(member.m_machine.m_applied_index) +
+                " of " + std::to_string(last));
+      states.insert(SerializeStateMachine(member.m_machine));
     }
     if (states.size() != 1)
       Violate("members hold different states");
--- a/tests/log_membership_test.cc
+++ b/tests/log_membership_test.cc
@@ -23,7 +23,7 @@
   LogNode node;
   node.m_id = 1;
   node.m_role = Role::kLeader;
-  node.m_hard.term = 3;
+  node.m_hard_state.term = 3;
   for (int id = 1; id <= voters; ++id) {
     node.m_membership.members.push_back(MakeMember(id, true));
     if (id != 1)
@@ -55,27 +55,28 @@
     progress.m_confirmed = {};
   (void)StepLog(node, AppendAnswer(2, kNow - Duration(4'000'000)), kNow);
   CHECK(LeadsWithQuorum(node, kNow));
-  CHECK_FALSE(ConfirmedLeader(node, node.m_commit, kNow));
+  CHECK_FALSE(CanServeLinearizableReads(node, node.m_commit_index, kNow));
   (void)StepLog(node, AppendAnswer(2, kNow - Duration(5'000)), kNow);
-  CHECK(ConfirmedLeader(node, node.m_commit, kNow));
-  CHECK_FALSE(ConfirmedLeader(node, node.m_commit, kNow + node.m_timing.m_election_min));
+  CHECK(CanServeLinearizableReads(node, node.m_commit_index, kNow));
+  CHECK_FALSE(
+      CanServeLinearizableReads(node, node.m_commit_index, kNow + node.m_timing.m_election_min));
 }
 
 TEST_CASE("a leader that has committed nothing in its term confirms nothing") {
   LogNode node = MakeLeader(3);
   node.m_term_start = 1;
-  CHECK_FALSE(ConfirmedLeader(node, node.m_commit, kNow));
-  node.m_commit = 1;
-  CHECK(ConfirmedLeader(node, node.m_commit, kNow));
+  CHECK_FALSE(CanServeLinearizableReads(node, node.m_commit_index, kNow));
+  node.m_commit_index = 1;
+  CHECK(CanServeLinearizableReads(node, node.m_commit_index, kNow));
 }
 
 TEST_CASE("a leader that has not applied the first entry of its term confirms nothing") {
   // Its state misses what an earlier leader acknowledged.
   LogNode node = MakeLeader(3);
   node.m_term_start = 1;
-  node.m_commit = 1;
-  CHECK_FALSE(ConfirmedLeader(node, 0, kNow));
-  CHECK(ConfirmedLeader(node, 1, kNow));
+  node.m_commit_index = 1;
+  CHECK_FALSE(CanServeLinearizableReads(node, 0, kNow));
+  CHECK(CanServeLinearizableReads(node, 1, kNow));
 }
 
 TEST_CASE("a gone voter is removed once a successor has caught up") {
@@ -85,7 +86,7 @@
   node.m_membership.members.push_back(MakeMember(6, false));
   node.m_progress[6] = {1, 0, kNow, {}, kNow};
   CHECK(RemovableVoter(node, kNow) == 4);
-  const wire::Membership next = *DueMembership(node, {}, kNow);
+  const wire::Membership next = *PlanMembershipChange(node, {}, kNow);
   CHECK_FALSE(HasMember(next, 4));
   CHECK(HasMember(next, 6));
 }
@@ -111,7 +112,7 @@
   LogNode node = MakeLeader(5);
   wire::MemberInfo blank = MakeMember(4, false);
   blank.id = 44;
-  const wire::Membership next = *DueMembership(node, {blank}, kNow);
+  const wire::Membership next = *PlanMembershipChange(node, {blank}, kNow);
   CHECK_FALSE(HasMember(next, 4));
   REQUIRE(HasMember(next, 44));
   CHECK_FALSE(FindMember(next, 44)->voter);
@@ -120,9 +121,9 @@
 TEST_CASE("a member joins without a vote and gets it only after catching up") {
   LogNode node = MakeLeader(3);
   node.m_membership.members.push_back(MakeMember(4, false));
-  CHECK_FALSE(DueMembership(node, {}, kNow));
+  CHECK_FALSE(PlanMembershipChange(node, {}, kNow));
   node.m_progress[4] = {1, 0, kNow, {}, kNow};
-  CHECK(FindMember(*DueMembership(node, {}, kNow), 4)->voter);
+  CHECK(FindMember(*PlanMembershipChange(node, {}, kNow), 4)->voter);
 }
 
 }  // namespace
--- a/tests/log_node_test.cc
+++ b/tests/log_node_test.cc
@@ -37,7 +37,7 @@
 LogNode Node(MemberId id, std::vector<wire::LogEntry> entries, std::int64_t term) {
   StoredLog stored;
   stored.m_id = id;
-  stored.m_hard.term = term;
+  stored.m_hard_state.term = term;
   wire::LogEntry first = Noop(1, 1);
   first.command = {};
   first.command.__set_membership(Voters({1, 2, 3}));
@@ -61,8 +61,8 @@
 
 /// Makes durable all that the node has so far.
 void Save(LogNode& node) {
-  BeforeSync(node);
-  (void)AfterSync(node);
+  BeginLogSave(node);
+  (void)FinishLogSave(node);
 }
 
 /// Elects node 1 by the votes of node 2.
@@ -74,7 +74,7 @@
     wire::VoteReply reply;
     reply.granted = true;
     reply.pre = pre;
-    reply.term = pre ? node.m_hard.term + 1 : node.m_hard.term;
+    reply.term = pre ? node.m_hard_state.term + 1 : node.m_hard_state.term;
     vote.body.__set_vote_reply(reply);
     (void)StepLog(node, vote, At(at + 1001));
   }
@@ -85,7 +85,7 @@
 LogEffects Acknowledge(LogNode& node, MemberId from, std::int64_t match, int at) {
   wire::LogMessage message = From(from, node.m_id);
   wire::AppendReply reply;
-  reply.term = node.m_hard.term;
+  reply.term = node.m_hard_state.term;
   reply.ok = true;
   reply.match = match;
   message.body.__set_append_reply(reply);
@@ -101,7 +101,7 @@
   Elect(node, 0);
   CHECK(LastIndex(node) == 3);  // Its own term's first entry.
   CHECK(Acknowledge(node, 2, 2, 1100).m_committed.empty());
-  CHECK(node.m_commit == 0);
+  CHECK(node.m_commit_index == 0);
   CHECK(Acknowledge(node, 2, 3, 1200).m_committed.size() == 3);
 }
 
@@ -139,7 +139,7 @@
   const LogEffects effects = StepLog(node, late, At(0));
   CHECK(LastIndex(node) == 4);
   CHECK_FALSE(effects.m_install);
-  CHECK(node.m_commit == 3);
+  CHECK(node.m_commit_index == 3);
   CHECK(effects.m_committed.size() == 3);
   // One that it can't check against its own log takes the log's place.
   request.snapshot.index = 9;
@@ -165,9 +165,9 @@
   ask.pre = false;
   vote.body.__set_vote(ask);
   (void)StepLog(node, vote, At(100));
-  CHECK(node.m_hard.term == 2);
+  CHECK(node.m_hard_state.term == 2);
   (void)StepLog(node, vote, At(1000));
-  CHECK(node.m_hard.term == 50);
+  CHECK(node.m_hard_state.term == 50);
 }
 
 TEST_CASE("a leader without a majority's answers stops leading", "[log][quorum]") {
@@ -201,18 +201,19 @@
     member.id = id;
     return member;
   };
-  Formation lowest{{"a", "b", "c"}, info("a", 1), {}, false};
-  CHECK_FALSE(MayForm(lowest));
-  NoteHello(lowest, info("b", 2), true);
-  CHECK_FALSE(MayForm(lowest));
-  NoteHello(lowest, info("c", 3), true);
-  REQUIRE(MayForm(lowest));
-  CHECK(MayForm(lowest)->members.size() == 3);
-  Formation other{{"a", "b", "c"}, info("b", 2), {{"a", info("a", 1)}, {"c", info("c", 3)}}, false};
-  CHECK_FALSE(MayForm(other));
+  ClusterBootstrap lowest{{"a", "b", "c"}, info("a", 1), {}, false};
+  CHECK_FALSE(BootstrapMembership(lowest));
+  RecordHello(lowest, info("b", 2), true);
+  CHECK_FALSE(BootstrapMembership(lowest));
+  RecordHello(lowest, info("c", 3), true);
+  REQUIRE(BootstrapMembership(lowest));
+  CHECK(BootstrapMembership(lowest)->members.size() == 3);
+  ClusterBootstrap other{
+      {"a", "b", "c"}, info("b", 2), {{"a", info("a", 1)}, {"c", info("c", 3)}}, false};
+  CHECK_FALSE(BootstrapMembership(other));
   // The member with the lowest name lost its folder; the others know a cluster.
-  NoteHello(lowest, info("c", 3), false);
-  CHECK_FALSE(MayForm(lowest));
+  RecordHello(lowest, info("c", 3), false);
+  CHECK_FALSE(BootstrapMembership(lowest));
 }
 
 namespace {
@@ -230,7 +231,7 @@
 LogEffects Lacks(LogNode& node, MemberId from, std::int64_t match, int sent, int at) {
   wire::LogMessage message = From(from, node.m_id);
   wire::AppendReply reply;
-  reply.term = node.m_hard.term;
+  reply.term = node.m_hard_state.term;
   reply.ok = false;
   reply.match = match;
   reply.sent_us = At(sent).time_since_epoch().count();
--- a/tests/log_store_test.cc
+++ b/tests/log_store_test.cc
@@ -33,7 +33,7 @@
     LogEffects effects;
     effects.m_append.push_back(Entry(i));
     effects.m_save_hard = true;
-    node.m_hard.term = i;
+    node.m_hard_state.term = i;
     REQUIRE((*store)->Save(node, effects));
   }
 }
@@ -62,9 +62,9 @@
   const auto stored = Reopen(folder.path());
   REQUIRE(stored);
   CHECK(stored->m_id == 7);
-  CHECK_FALSE(stored->m_blank);
+  CHECK_FALSE(stored->m_newly_created);
   CHECK(stored->m_entries.size() == 20);
-  CHECK(stored->m_hard.term == 20);
+  CHECK(stored->m_hard_state.term == 20);
   CHECK(stored->m_torn_bytes == 0);
 }
 
--- a/tests/outage_forward_test.cc
+++ b/tests/outage_forward_test.cc
@@ -12,14 +12,14 @@
   std::vector<SlotRequest> m_slot_requests;
 
   explicit AskedBroker(Rig& rig) {
-    rig.m_forwarder->SetBroker({[this](const SlotBatch& batch) {
-                                  m_slot_requests.insert(m_slot_requests.end(),
-                                                         batch.m_slot_requests.begin(),
-                                                         batch.m_slot_requests.end());
-                                },
-                                [] {}});
-    rig.m_forwarder->Take(FleetSize{4});
-    rig.m_forwarder->Take(BrokerFound{1});
+    rig.m_forwarder->SetBrokerPort({[this](const SlotBatch& batch) {
+                                      m_slot_requests.insert(m_slot_requests.end(),
+                                                             batch.m_slot_requests.begin(),
+                                                             batch.m_slot_requests.end());
+                                    },
+                                    [] {}});
+    rig.m_forwarder->HandleMessage(LiveInstanceCount{4});
+    rig.m_forwarder->HandleMessage(BrokerConnected{1});
   }
 };
 
@@ -29,7 +29,7 @@
                 const ScriptedServer& server) {
   wire::ServerRecord record = rig.Record(id, server);
   record.data_centre = centre;
-  rig.m_forwarder->Take(ServersChanged{{record}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{record}});
 }
 
 void Place(Rig& rig, SlotRef ref, const std::string& server) {
@@ -37,11 +37,11 @@
   answer.m_ref = ref;
   answer.m_verdict = SlotVerdict::kPlaced;
   answer.m_server = server;
-  rig.m_forwarder->Take(PlacesAnswered{1, {answer}});
+  rig.m_forwarder->HandleMessage(SlotResponses{1, {answer}});
 }
 
 void TellSuspects(Rig& rig, const std::vector<std::string>& suspects) {
-  rig.m_forwarder->Take(PlacesAnswered{1, {}, suspects});
+  rig.m_forwarder->HandleMessage(SlotResponses{1, {}, suspects});
 }
 
 void RunFor(Rig& rig, Duration time) {
@@ -157,7 +157,7 @@
     record.data_centre = "east";
     records.push_back(record);
   }
-  rig.m_forwarder->Take(ServersChanged{records});
+  rig.m_forwarder->HandleMessage(ServersChanged{records});
   const OutageDetector& detector = rig.m_forwarder->state().m_outages;
   for (int i = 0; i < 12 && !IsDataCentreSuspect(detector, "east"); ++i) {
     CHECK(Call(rig, Request("/safe/", "i" + std::to_string(i))).status() == 200);
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -39,14 +39,14 @@
   const HostedSettings settings = ParseHostedSettings(kEdgeSettings, "node.conf").value();
   CHECK(settings.m_instance == "edge-1");
   CHECK(settings.m_data_centre == "ba-hall1");
-  CHECK(settings.m_callers == Endpoint{"10.1.0.25", 8221});
-  CHECK(settings.m_readiness == Endpoint{"10.1.0.25", 8224});
-  CHECK(settings.m_control.m_port == 0);
+  CHECK(settings.m_caller_endpoint == Endpoint{"10.1.0.25", 8221});
+  CHECK(settings.m_readiness_endpoint == Endpoint{"10.1.0.25", 8224});
+  CHECK(settings.m_control_endpoint.m_port == 0);
   CHECK(settings.m_first_internal_port == 7600);
   CHECK(settings.m_seeds == std::vector<Endpoint>{{"10.1.0.27", 8229}, {"10.2.0.19", 8229}});
-  CHECK(settings.m_first_start);
-  CHECK(settings.m_key_bound == Duration(5'000'000));
-  CHECK(settings.m_stop_limit == Duration(8'000'000));
+  CHECK(settings.m_bootstrap);
+  CHECK(settings.m_key_revocation_limit == Duration(5'000'000));
+  CHECK(settings.m_shutdown_timeout == Duration(8'000'000));
   CHECK(settings.m_retry_limit.m_ratio == 0.2);
   CHECK(settings.m_quota_tolerance == QuotaTolerance{0.1, 140'000});
   CHECK(settings.m_data_folder.empty());
@@ -137,40 +137,44 @@
     for (int i = 0; i < 4; ++i)
       spoiled[random() % spoiled.size()] = static_cast<char>(random());
     (void)DecodeDocument(spoiled);
-    (void)DecodeControlCall("PUT", "/-/instances/a", spoiled);
+    (void)DecodeControlRequest("PUT", "/-/instances/a", spoiled);
     (void)ParseHostedSettings(spoiled, "x");
-    (void)MakeDialect().m_decode_request({{"x-token-count", spoiled}, {"x-prefix-hash", spoiled}});
-    (void)MakeDialect().m_decode_answer(200, {{"x-server-load", spoiled}, {"keep-alive", spoiled}});
+    (void)MakeProtocolAdapter().m_decode_request(
+        {{"x-token-count", spoiled}, {"x-prefix-hash", spoiled}});
+    (void)MakeProtocolAdapter().m_decode_response(
+        200, {{"x-server-load", spoiled}, {"keep-alive", spoiled}});
   }
 }
 
 TEST_CASE("calls of operators and servers are decoded") {
-  const ControlCall put = DecodeControlCall("PUT", "/-/config", Document().dump()).value();
-  CHECK(put.m_kind == ControlCall::Kind::kPutDocument);
+  const ControlRequest put = DecodeControlRequest("PUT", "/-/config", Document().dump()).value();
+  CHECK(put.m_kind == ControlRequest::Kind::kPutDocument);
   CHECK(put.m_document.version == 7);
   CHECK(put.m_document.body == Document().dump());
-  CHECK(DecodeControlCall("GET", "/-/config", "")->m_kind == ControlCall::Kind::kReadDocument);
-  const ControlCall beat =
-      DecodeControlCall("PUT", "/-/instances/i-1",
-                        R"({"service":"llm","address":"10.128.0.9:8080","zone":"z","slots":7,
+  CHECK(DecodeControlRequest("GET", "/-/config", "")->m_kind ==
+        ControlRequest::Kind::kReadDocument);
+  const ControlRequest beat =
+      DecodeControlRequest("PUT", "/-/instances/i-1",
+                           R"({"service":"llm","address":"10.128.0.9:8080","zone":"z","slots":7,
                             "state":"draining","sequence":4})")
           .value();
-  CHECK(beat.m_kind == ControlCall::Kind::kServerSeen);
+  CHECK(beat.m_kind == ControlRequest::Kind::kServerHeartbeat);
   CHECK(beat.m_server.id == "i-1");
   CHECK(beat.m_server.pool == "llm");
   CHECK(beat.m_server.address == "10.128.0.9");
   CHECK(beat.m_server.port == 8080);
   CHECK(beat.m_server.stage == wire::ServerStage::LEAVING);
   CHECK(beat.m_server.sequence == 4);
-  const ControlCall gone = DecodeControlCall("DELETE", "/-/instances/i-1", "").value();
+  const ControlRequest gone = DecodeControlRequest("DELETE", "/-/instances/i-1", "").value();
   CHECK(gone.m_server.stage == wire::ServerStage::GONE);
-  CHECK(DecodeControlCall("GET", "/-/other", "")->m_kind == ControlCall::Kind::kUnknown);
-  CHECK(DecodeControlCall("PUT", "/-/instances/", "{}")->m_kind == ControlCall::Kind::kUnknown);
+  CHECK(DecodeControlRequest("GET", "/-/other", "")->m_kind == ControlRequest::Kind::kUnknown);
+  CHECK(DecodeControlRequest("PUT", "/-/instances/", "{}")->m_kind ==
+        ControlRequest::Kind::kUnknown);
 }
 
 TEST_CASE("a heartbeat with missing or malformed fields is refused") {
   const auto refused = [](const std::string& body) {
-    return !DecodeControlCall("PUT", "/-/instances/i-1", body).has_value();
+    return !DecodeControlRequest("PUT", "/-/instances/i-1", body).has_value();
   };
   CHECK(refused("not json"));
   CHECK(refused("[]"));
@@ -181,43 +185,43 @@
 }
 
 TEST_CASE("a reader that can't be sure gets an error, never an empty document") {
-  ControlCall read;
-  read.m_kind = ControlCall::Kind::kReadDocument;
+  ControlRequest read;
+  read.m_kind = ControlRequest::Kind::kReadDocument;
   wire::Body none;
   none.__set_document({});
-  CHECK(EncodeControlAnswer(read, none).m_status == 503);
+  CHECK(EncodeControlResponse(read, none).m_status == 503);
   wire::Body error;
   error.__set_error({});
-  CHECK(EncodeControlAnswer(read, error).m_status == 503);
+  CHECK(EncodeControlResponse(read, error).m_status == 503);
   wire::Document document;
   document.version = 3;
   document.body = "{}x";
   wire::Body known;
   known.__set_document(document);
-  CHECK(EncodeControlAnswer(read, known) == ControlAnswer{200, "{}x"});
+  CHECK(EncodeControlResponse(read, known) == ControlResponse{200, "{}x"});
 }
 
 TEST_CASE("a caller's key and what only this system may set never reach a server") {
   const CallerRequest request =
-      MakeDialect().m_decode_request({{"x-attempt-id", "a1"},
-                                      {"authorization", "Bearer k1"},
-                                      {"x-tenant", "forged"},
-                                      {"x-expect-instance", "forged"},
-                                      {"kv-from", "forged"},
-                                      {"x-kv-hold", "forged"},
-                                      {"x-pin-ms", "9"},
-                                      {"x-kv-backup", "forged"},
-                                      {"connection", "close, X-Hop"},
-                                      {"x-hop", "1"},
-                                      {"x-token-count", "1460,80"},
-                                      {"x-prefix-hash", "5c1e07a2:800,ff:60"},
-                                      {"x-length-hint", "44"},
-                                      {"x-deadline-ms", "1500"},
-                                      {"last-event-id", "12"},
-                                      {"x-other", "kept"}});
+      MakeProtocolAdapter().m_decode_request({{"x-attempt-id", "a1"},
+                                              {"authorization", "Bearer k1"},
+                                              {"x-tenant", "forged"},
+                                              {"x-expect-instance", "forged"},
+                                              {"kv-from", "forged"},
+                                              {"x-kv-hold", "forged"},
+                                              {"x-pin-ms", "9"},
+                                              {"x-kv-backup", "forged"},
+                                              {"connection", "close, X-Hop"},
+                                              {"x-hop", "1"},
+                                              {"x-token-count", "1460,80"},
+                                              {"x-prefix-hash", "5c1e07a2:800,ff:60"},
+                                              {"x-length-hint", "44"},
+                                              {"x-deadline-ms", "1500"},
+                                              {"last-event-id", "12"},
+                                              {"x-other", "kept"}});
   CHECK(request.m_id == "a1");
   CHECK(request.m_key == "k1");
-  CHECK(request.m_patience == Duration(1'500'000));
+  CHECK(request.m_timeout == Duration(1'500'000));
   CHECK(request.m_prompt_tokens == 1460);
   CHECK(request.m_most_tokens == 80);
   CHECK(request.m_expected_tokens == 44);
@@ -236,7 +240,7 @@
   dispatch.m_workspace = "t1";
   dispatch.m_left = Duration(1'234'567);
   dispatch.m_resume_after = 4;
-  CHECK(MakeDialect().m_encode_dispatch(dispatch) ==
+  CHECK(MakeProtocolAdapter().m_encode_dispatch(dispatch) ==
         std::vector<Field>{{"x-deadline-ms", "1234"},
                            {"x-expect-instance", "i-1"},
                            {"x-tenant", "t1"},
@@ -244,12 +248,13 @@
 }
 
 TEST_CASE("an answer says whom it is for, whether it ran, and what the caller gets of it") {
-  const ServerAnswer answer = MakeDialect().m_decode_answer(200, {{"x-attempt-id", "a1"},
-                                                                  {"x-response-seal", "s"},
-                                                                  {"content-length", "4"},
-                                                                  {"keep-alive", "timeout=5"},
-                                                                  {"x-server-load", "3,1,8"},
-                                                                  {"x-own", "v"}});
+  const ServerResponse answer =
+      MakeProtocolAdapter().m_decode_response(200, {{"x-attempt-id", "a1"},
+                                                    {"x-response-seal", "s"},
+                                                    {"content-length", "4"},
+                                                    {"keep-alive", "timeout=5"},
+                                                    {"x-server-load", "3,1,8"},
+                                                    {"x-own", "v"}});
   CHECK(answer.m_id == "a1");
   CHECK(answer.m_signed);
   CHECK_FALSE(answer.m_not_run);
@@ -257,14 +262,15 @@
   CHECK(answer.m_running == 3);
   CHECK(answer.m_waiting == 1);
   CHECK(answer.m_relayed.back() == Field{"x-own", "v"});
-  CHECK(MakeDialect().m_decode_answer(503, {{"x-not-executed", "1"}}).m_not_run);
-  CHECK_FALSE(MakeDialect().m_decode_answer(503, {}).m_not_run);
-  CHECK(MakeDialect().m_decode_answer(421, {{"x-instance-id", "i-2"}}).m_other_server == "i-2");
-  CHECK(MakeDialect().m_decode_answer(421, {}).m_not_run);
+  CHECK(MakeProtocolAdapter().m_decode_response(503, {{"x-not-executed", "1"}}).m_not_run);
+  CHECK_FALSE(MakeProtocolAdapter().m_decode_response(503, {}).m_not_run);
+  CHECK(MakeProtocolAdapter().m_decode_response(421, {{"x-instance-id", "i-2"}}).m_other_server ==
+        "i-2");
+  CHECK(MakeProtocolAdapter().m_decode_response(421, {}).m_not_run);
 }
 
 TEST_CASE("a server's 503 may ask for a time without requests, in seconds and fractions") {
-  const auto decode = MakeDialect().m_decode_answer;
+  const auto decode = MakeProtocolAdapter().m_decode_response;
   CHECK(decode(503, {{"retry-after", "3"}}).m_back_off == Duration(3'000'000));
   CHECK(decode(503, {{"retry-after", " 0.25 "}}).m_back_off == Duration(250'000));
   CHECK_FALSE(decode(503, {}).m_back_off);
@@ -273,7 +279,7 @@
   CHECK_FALSE(decode(200, {{"retry-after", "3"}}).m_back_off);
   CHECK(decode(503, {{"retry-after", "1e300"}}).m_back_off == Duration(86'400'000'000));
   for (const std::string spoiled : {"", "-1", "soon", "3s", "nan", "inf", "1e999"}) {
-    const ServerAnswer answer = decode(503, {{"retry-after", spoiled}});
+    const ServerResponse answer = decode(503, {{"retry-after", spoiled}});
     CHECK_FALSE(answer.m_back_off);
     CHECK(answer.m_unreadable == "retry-after");
   }
@@ -281,25 +287,25 @@
 }
 
 TEST_CASE("a server says in its answers that it leaves; the end of a connection doesn't say so") {
-  const auto decode = MakeDialect().m_decode_answer;
+  const auto decode = MakeProtocolAdapter().m_decode_response;
   for (const int status : {200, 421, 500, 503})
     CHECK(decode(status, {{"server-leaving", "1"}}).m_leaving);
   CHECK_FALSE(decode(200, {}).m_leaving);
   CHECK_FALSE(decode(200, {{"connection", "close"}}).m_leaving);
   CHECK_FALSE(decode(200, {{"server-leaving", "0"}}).m_leaving);
-  const ServerAnswer spoiled = decode(200, {{"server-leaving", "later"}});
+  const ServerResponse spoiled = decode(200, {{"server-leaving", "later"}});
   CHECK_FALSE(spoiled.m_leaving);
   CHECK(spoiled.m_unreadable == "server-leaving");
 }
 
 TEST_CASE("an order to roll out is decoded, or refused with what is wrong") {
   const auto decode = [](const std::string& body) {
-    return DecodeControlCall("POST", "/-/rollouts", body);
+    return DecodeControlRequest("POST", "/-/rollouts", body);
   };
-  const Result<ControlCall> call =
+  const Result<ControlRequest> call =
       decode(R"({"service":"llm","target_version":"v2","duration_s":12.5})");
   REQUIRE(call);
-  CHECK(call->m_kind == ControlCall::Kind::kOrderRollout);
+  CHECK(call->m_kind == ControlRequest::Kind::kOrderRollout);
   CHECK(call->m_rollout.pool == "llm");
   CHECK(call->m_rollout.target == "v2");
   CHECK(call->m_rollout.duration_ms == 12'500);
@@ -312,16 +318,16 @@
         R"({"service":"llm","target_version":2,"duration_s":3})",
         R"({"service":"llm","target_version":"v2","duration_s":"soon"})"}) {
     CAPTURE(bad);
-    const Result<ControlCall> refused = decode(bad);
+    const Result<ControlRequest> refused = decode(bad);
     REQUIRE_FALSE(refused);
     CHECK(EncodeControlError(refused.error()).m_status == 400);
   }
 }
 
 TEST_CASE("the state of a roll-out is told in the platform's words") {
-  const Result<ControlCall> call = DecodeControlCall("GET", "/-/rollouts/llm", "");
+  const Result<ControlRequest> call = DecodeControlRequest("GET", "/-/rollouts/llm", "");
   REQUIRE(call);
-  CHECK(call->m_kind == ControlCall::Kind::kReadRollout);
+  CHECK(call->m_kind == ControlRequest::Kind::kReadRollout);
   CHECK(call->m_rollout.pool == "llm");
   const std::pair<wire::RolloutStage::type, std::string> states[] = {
       {wire::RolloutStage::TRIAL, "in_progress"},
@@ -334,14 +340,14 @@
     rollout.stage = stage;
     wire::Body body;
     body.__set_rollout(rollout);
-    const ControlAnswer answer = EncodeControlAnswer(*call, body);
+    const ControlResponse answer = EncodeControlResponse(*call, body);
     CHECK(answer.m_status == 200);
     CHECK(Json::parse(answer.m_body) == Json({{"state", name}, {"target_version", "v2"}}));
   }
 }
 
 TEST_CASE("orders that can't be taken get a clear status") {
-  const ControlCall call = *DecodeControlCall(
+  const ControlRequest call = *DecodeControlRequest(
       "POST", "/-/rollouts", R"({"service":"llm","target_version":"v2","duration_s":1})");
   const std::pair<ResultCode, int> cases[] = {{ResultCode::kNotFound, 404},
                                               {ResultCode::kOtherRollout, 409},
@@ -353,12 +359,12 @@
     error.message = "why";
     wire::Body body;
     body.__set_error(error);
-    CHECK(EncodeControlAnswer(call, body).m_status == status);
+    CHECK(EncodeControlResponse(call, body).m_status == status);
   }
 }
 
 TEST_CASE("a heartbeat carries its server's version") {
-  const Result<ControlCall> call = DecodeControlCall(
+  const Result<ControlRequest> call = DecodeControlRequest(
       "PUT", "/-/instances/i-1",
       R"({"service":"llm","address":"10.0.0.9:80","zone":"z","version":"v7","slots":2,
           "state":"ready","sequence":1})");
@@ -367,18 +373,18 @@
 }
 
 TEST_CASE("a count of tokens that is none counts as none, and a huge one is bounded") {
-  const Dialect dialect = platform::MakeDialect();
-  const CallerRequest odd = dialect.m_decode_request({{"x-token-count", "-600,-1"},
+  const ProtocolAdapter adapter = platform::MakeProtocolAdapter();
+  const CallerRequest odd = adapter.m_decode_request({{"x-token-count", "-600,-1"},
                                                       {"x-prefix-hash", "1f:-9"},
                                                       {"x-deadline-ms", "9223372036854775807"}});
   CHECK(odd.m_prompt_tokens == 0);
   CHECK(odd.m_most_tokens == 0);
   REQUIRE(odd.m_prompt_segments.size() == 1);
   CHECK(odd.m_prompt_segments[0].m_tokens == 0);
-  CHECK(odd.m_patience == std::chrono::hours(24));
-  const CallerRequest past = dialect.m_decode_request({{"x-deadline-ms", "-9223372036854775807"}});
-  CHECK(past.m_patience == Duration(0));
-  const CallerRequest huge = dialect.m_decode_request({{"x-token-count", "9223372036854775807,5"}});
+  CHECK(odd.m_timeout == std::chrono::hours(24));
+  const CallerRequest past = adapter.m_decode_request({{"x-deadline-ms", "-9223372036854775807"}});
+  CHECK(past.m_timeout == Duration(0));
+  const CallerRequest huge = adapter.m_decode_request({{"x-token-count", "9223372036854775807,5"}});
   CHECK(huge.m_prompt_tokens == std::int64_t{1} << 40);
   CHECK(huge.m_most_tokens == 5);
 }
--- a/tests/news_source_test.cc
+++ b/tests/poll_source_test.cc
@@ -13,15 +13,15 @@
 const Instant kNow{Duration(10'000'000)};
 const RegionMap kRegions{{"a1", "north"}, {"a2", "north"}, {"b1", "south"}, {"b2", "south"}};
 
-std::size_t Choose(const std::vector<NewsSource>& sources,
+std::size_t Choose(const std::vector<PollSource>& sources,
                    const std::string& data_centre,
                    std::uint64_t turn = 0) {
-  return ChooseNewsSource(sources, kRegions, {data_centre, RegionOf(kRegions, data_centre)}, turn,
+  return ChoosePollSource(sources, kRegions, {data_centre, RegionOf(kRegions, data_centre)}, turn,
                           kNow);
 }
 
 TEST_CASE("an instance reads from a member of its own data centre, else of its region") {
-  const std::vector<NewsSource> sources{{"a1", {}}, {"b1", {}}, {"a2", {}}};
+  const std::vector<PollSource> sources{{"a1", {}}, {"b1", {}}, {"a2", {}}};
   CHECK(Choose(sources, "a2") == 2);
   CHECK(Choose(sources, "b2", 7) == 1);
   CHECK(Choose(sources, "b1", 5) == 1);
@@ -35,7 +35,7 @@
 }
 
 TEST_CASE("readers spread over members that are equally near") {
-  const std::vector<NewsSource> sources{{"a1", {}}, {"a1", {}}, {"", {}}, {"b1", {}}};
+  const std::vector<PollSource> sources{{"a1", {}}, {"a1", {}}, {"", {}}, {"b1", {}}};
   std::map<std::size_t, int> readers;
   for (std::uint64_t turn = 0; turn < 100; ++turn)
     ++readers[Choose(sources, "a1", turn)];
--- a/tests/result_code_test.cc
+++ b/tests/result_code_test.cc
@@ -56,7 +56,7 @@
   for (const ResultInfo& info : ResultTable()) {
     CHECK(codes.insert(static_cast<int>(info.m_code)).second);
     CHECK(names.insert(info.m_name).second);
-    CHECK(&Describe(info.m_code) == &info);
+    CHECK(&ResultInfoOf(info.m_code) == &info);
     const int number = static_cast<int>(info.m_code);
     const bool system_refusal = number >= 2000 && number < 3000 && info.m_http_status != 0;
     if (system_refusal)
--- a/tests/rollout_state_test.cc
+++ b/tests/rollout_state_test.cc
@@ -66,7 +66,7 @@
   CHECK(ApplyRolloutOrder(state, other, 5) == Verdict::TAKEN);
   CHECK(state.m_rollouts.at("forms").number == 2);
   ApplyRolloutStep(state, Step(1, Stage::ROLLED_BACK), 6);
-  CHECK(UnderWay(state.m_rollouts.at("forms")));
+  CHECK(IsRolloutActive(state.m_rollouts.at("forms")));
 }
 
 TEST_CASE("the target version is held back on trial, the others while work moves") {
@@ -145,9 +145,9 @@
   ApplyRolloutStep(machine.m_hosted, step, 6);
   wire::Snapshot snapshot;
   snapshot.index = 6;
-  snapshot.state = SaveMachine(machine);
+  snapshot.state = SerializeStateMachine(machine);
   StateMachine loaded;
-  REQUIRE(LoadMachine(loaded, snapshot));
+  REQUIRE(RestoreStateMachine(loaded, snapshot));
   const wire::Rollout& rollout = loaded.m_hosted.m_rollouts.at("models");
   CHECK(rollout.left_ms == 8'000);
   CHECK(rollout.requests == 100);
--- a/tests/round_trip_table_test.cc
+++ b/tests/round_trip_table_test.cc
@@ -246,7 +246,7 @@
   state.m_settings.m_regions = {{"e1", "east"}, {"w1", "west"}};
   wire::ServerRecord record = rig.Record("s0", server);
   record.data_centre = "w1";
-  rig.m_forwarder->Take(ServersChanged{{record}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{record}});
   std::vector<SlotRequest> slot_requests;
   std::vector<SlotReport> reports;
   const auto note = [&](const SlotBatch& batch) {
@@ -254,15 +254,15 @@
                          batch.m_slot_requests.end());
     reports.insert(reports.end(), batch.m_reports.begin(), batch.m_reports.end());
   };
-  rig.m_forwarder->SetBroker({note, [] {}});
-  rig.m_forwarder->Take(BrokerFound{1});
+  rig.m_forwarder->SetBrokerPort({note, [] {}});
+  rig.m_forwarder->HandleMessage(BrokerConnected{1});
   Pending call(rig, Request("/safe/", "i"));
   rig.RunUntil([&] { return !slot_requests.empty(); });
   REQUIRE(slot_requests.size() == 1);
   SlotResponse answer;
   answer.m_ref = slot_requests[0].m_ref;
   answer.m_server = "s0";
-  rig.m_forwarder->Take(PlacesAnswered{1, {answer}});
+  rig.m_forwarder->HandleMessage(SlotResponses{1, {answer}});
   CHECK(call.Finish(rig).status() == 200);
   REQUIRE(reports.size() == 1);
   CHECK(reports[0].m_connect > Duration(0));
--- a/tests/server_notice_test.cc
+++ b/tests/server_notice_test.cc
@@ -95,7 +95,7 @@
   CHECK(broker.Words()[0].m_server == "s0");
   CHECK(broker.Words()[0].m_back_off > Duration(1'500'000));
   CHECK(broker.Words()[0].m_back_off < Duration(2'000'000));
-  rig.m_forwarder->Take(BrokerFound{2});
+  rig.m_forwarder->HandleMessage(BrokerConnected{2});
   CHECK(broker.Words().size() == 2);
 }
 
@@ -112,7 +112,7 @@
   rig.RunUntil([&] { return !broker.Words().empty(); });
   rig.Register("s1", good);
   if (lost)
-    rig.m_forwarder->Take(BrokerLost{});
+    rig.m_forwarder->HandleMessage(BrokerDisconnected{});
   for (int i = 0; i < 3; ++i)  // Without an answer each is decided here.
     CHECK(Call(rig, Request("/safe/", "i" + std::to_string(i))).status() == 200);
   CHECK(first.Finish(rig).status() == 200);
@@ -154,13 +154,13 @@
   Rig rig;
   wire::ServerRecord record = rig.Record("s0", busy);
   record.born = 1'000;
-  rig.m_forwarder->Take(ServersChanged{{record}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{record}});
   CHECK(Call(rig, Request("/safe/", "a")).status() == 503);
   CHECK(Call(rig, Request("/safe/", "b")).status() == 503);
   CHECK(busy.requests().size() == 1);
   record.born = 2'000;
   ++record.index;
-  rig.m_forwarder->Take(ServersChanged{{record}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{record}});
   CHECK(Call(rig, Request("/safe/", "c")).status() == 503);
   CHECK(busy.requests().size() == 2);
 }
@@ -348,7 +348,7 @@
   CHECK(broker.Words()[0].m_server == "s0");
   CHECK(broker.Words()[0].m_leaving);
   CHECK(leaving.requests().size() == 1);
-  rig.m_forwarder->Take(BrokerFound{2});
+  rig.m_forwarder->HandleMessage(BrokerConnected{2});
   REQUIRE(broker.Words().size() == 2);
   CHECK(broker.Words()[1].m_leaving);
 }
@@ -364,7 +364,7 @@
   Decide(rig, broker.Asks()[0].m_ref, SlotVerdict::kPlaced, "s0");
   CHECK(first.Finish(rig).status() == 200);
   rig.Register("s1", stays);
-  rig.m_forwarder->Take(BrokerLost{});
+  rig.m_forwarder->HandleMessage(BrokerDisconnected{});
   for (int i = 0; i < 10; ++i)
     CHECK(Call(rig, Request("/safe/", "i" + std::to_string(i))).status() == 200);
   CHECK(leaving.requests().size() == 1);
@@ -426,12 +426,12 @@
   Rig rig;
   wire::ServerRecord record = rig.Record("s0", server);
   record.born = 1'000;
-  rig.m_forwarder->Take(ServersChanged{{record}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{record}});
   CHECK(Call(rig, Request("/safe/", "a")).status() == 200);
   CHECK(Call(rig, Request("/safe/", "b")).status() == 503);
   record.born = 2'000;
   ++record.index;
-  rig.m_forwarder->Take(ServersChanged{{record}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{record}});
   CHECK(Call(rig, Request("/safe/", "c")).status() == 200);
 }
 
--- a/tests/slow_start_without_broker_test.cc
+++ b/tests/slow_start_without_broker_test.cc
@@ -21,7 +21,7 @@
   wire::ServerRecord record = rig.Record(id, server);
   record.data_centre = data_centre;
   record.cold_for_ms = 8'000;
-  rig.m_forwarder->Take(ServersChanged{{record}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{record}});
 }
 
 int Served(Rig& rig, int calls) {
@@ -71,13 +71,13 @@
   Rig rig(ColdDocument());
   wire::ServerRecord record = rig.Record("s0", server);
   record.data_centre = "east";
-  rig.m_forwarder->Take(ServersChanged{{record}});
+  rig.m_forwarder->HandleMessage(ServersChanged{{record}});
   CHECK(Served(rig, 1) == 1);
   wire::Evacuation evacuation;
   evacuation.data_centre = "east";
-  rig.m_forwarder->Take(EvacuationsChanged{{evacuation}});
+  rig.m_forwarder->HandleMessage(EvacuationsChanged{{evacuation}});
   evacuation.ended = true;
-  rig.m_forwarder->Take(EvacuationsChanged{{evacuation}});
+  rig.m_forwarder->HandleMessage(EvacuationsChanged{{evacuation}});
   CHECK(Served(rig, 1) == 0);
 }
 
--- a/tests/start_test.cc
+++ b/tests/start_test.cc
@@ -55,7 +55,7 @@
   rig.Register("s0", server);
   rig.m_forwarder->state().m_confirmed_until = {};
   // As computed from a leader that was never asked: long before now.
-  rig.m_forwarder->Take(ConfirmedUntil{Instant{} + Duration(4'500'000)});
+  rig.m_forwarder->HandleMessage(ConfirmedUntil{Instant{} + Duration(4'500'000)});
   RepeatingTimer late(rig.m_loop, 50, [&rig] { rig.Confirm(Duration(60'000'000)); });
   CHECK(Call(rig, Request("/once/", "i", "X-Deadline-Ms: 1500\r\n")).status() == 200);
 }
@@ -63,7 +63,7 @@
 TEST_CASE("an instance that stops before it knows the configuration refuses at once") {
   Rig rig;
   ForgetConfiguration(rig);
-  rig.m_forwarder->BeginStop();
+  rig.m_forwarder->BeginShutdown();
   const Seen seen = Call(rig, Request("/safe/", "i", kPatience));
   CHECK(seen.status() == 503);
   CHECK(seen.m_millis < 100);
--- a/tests/upstream_test.cc
+++ b/tests/upstream_test.cc
@@ -34,14 +34,14 @@
 /// server sends meanwhile, its close included, is found at once.
 Report RunScript(std::vector<ScriptStep> steps, int late_by_millis = 0) {
   ScriptedServer server([&steps](const std::string&) { return steps; });
-  TaskLoop loop;
+  EventLoop loop;
   UpstreamPools pools(loop);
   Report report;
   UpstreamEvents events;
   events.m_may_send = [] { return true; };
   events.m_on_head = [](const UpstreamHead&) {};
   events.m_on_data = [&](std::string_view bytes) { report.m_data += bytes; };
-  events.m_on_whole = [&] { report.m_whole = true; };
+  events.m_on_complete = [&] { report.m_whole = true; };
   events.m_on_failure = [&](bool, const std::string& why) { report.m_failure = why; };
   Upstream call(pools, {"127.0.0.1", server.port()}, "GET /a HTTP/1.1\r\nhost: t\r\n\r\n", false,
                 std::move(events));
