--- a/apps/poppyway/load_runner.cc
+++ b/apps/poppyway/load_runner.cc
@@ -253,7 +253,7 @@
     events.m_on_complete = [] {};
     events.m_on_failure = [saw](bool, const std::string&) { saw(false); };
     if (target.m_probe) {
-      target.m_probe->Silence();
+      target.m_probe->SuppressEvents();
       m_old_probes.push_back(std::move(target.m_probe));
     }
     target.m_probe =
--- a/apps/poppywayd/convert.cc
+++ b/apps/poppywayd/broker_convert.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-#include "convert.h"
+#include "broker_convert.h"
 
 namespace poppyway {
 namespace {
--- a/apps/poppywayd/broker_side.cc
+++ b/apps/poppywayd/broker_service.cc
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-#include "broker_side.h"
+#include "broker_service.h"
 
 #include <algorithm>
 
-#include "convert.h"
+#include "broker_convert.h"
 #include "poppyway/gateway.h"
 
 namespace poppyway {
 
-void BrokerSide::Configure(const std::string& pool, Broker& broker) const {
+void BrokerService::Configure(const std::string& pool, Broker& broker) const {
   if (!m_catalogue)
     return;
   std::vector<EngineBudget> engines;
@@ -39,22 +39,22 @@
   UpdateEngines(broker, engines, std::move(weights), std::move(eligible));
 }
 
-void BrokerSide::OnCatalogue(std::shared_ptr<const Catalogue> catalogue) {
+void BrokerService::OnCatalogue(std::shared_ptr<const Catalogue> catalogue) {
   m_catalogue = std::move(catalogue);
   for (auto& [pool, hosted] : m_brokers)
     Configure(pool, hosted.m_broker);
 }
 
-void BrokerSide::OnLeaving(const std::set<std::string>& servers) {
+void BrokerService::OnLeaving(const std::set<std::string>& servers) {
   m_leaving = servers;
   for (auto& [pool, hosted] : m_brokers)
     Configure(pool, hosted.m_broker);
 }
 
-void BrokerSide::OnLease(const wire::LeaseGrant& lease,
-                         int live_gateways,
-                         Instant valid_until,
-                         Instant now) {
+void BrokerService::OnLease(const wire::LeaseGrant& lease,
+                            int live_gateways,
+                            Instant valid_until,
+                            Instant now) {
   const auto found = m_brokers.find(lease.lease);
   const bool known = found != m_brokers.end() && found->second.m_broker.m_epoch == lease.epoch;
   if (known) {
@@ -74,12 +74,12 @@
   POPPYWAY_LOG(info, "broker_began").Field("pool", lease.lease).Field("epoch", lease.epoch);
 }
 
-void BrokerSide::OnLeaseLost(const std::string& lease) {
+void BrokerService::OnLeaseLost(const std::string& lease) {
   if (m_brokers.erase(lease) > 0)
     POPPYWAY_LOG(info, "broker_ended").Field("pool", lease);
 }
 
-void BrokerSide::OnDemand(const wire::Demand& demand, PeerConnection& from) {
+void BrokerService::OnDemand(const wire::Demand& demand, PeerConnection& from) {
   const Instant now = ReadClock();
   const auto found = m_brokers.find(demand.pool);
   const bool ours = found != m_brokers.end() && now < found->second.m_valid_until &&
@@ -102,9 +102,9 @@
   Send(demand.pool, hosted, HandleDemand(hosted.m_broker, FromWire(demand, now), now));
 }
 
-void BrokerSide::Send(const std::string& pool,
-                      Hosted& hosted,
-                      const std::vector<GrantBatch>& batches) {
+void BrokerService::Send(const std::string& pool,
+                         Hosted& hosted,
+                         const std::vector<GrantBatch>& batches) {
   for (const GrantBatch& batch : batches) {
     const GatewayLine& line = hosted.m_lines[batch.m_gateway];
     const std::shared_ptr<PeerConnection> connection = line.m_connection.lock();
@@ -119,7 +119,7 @@
   }
 }
 
-void BrokerSide::Tick(Instant now) {
+void BrokerService::Tick(Instant now) {
   for (auto it = m_brokers.begin(); it != m_brokers.end();) {
     Hosted& hosted = it->second;
     if (now >= hosted.m_valid_until) {
@@ -135,14 +135,14 @@
   }
 }
 
-bool BrokerSide::Busy() const {
+bool BrokerService::HasPendingWork() const {
   return std::any_of(m_brokers.begin(), m_brokers.end(), [](const auto& entry) {
     const TierCounts backlog = Backlog(entry.second.m_broker);
     return backlog[0] + backlog[1] + backlog[2] > 0;
   });
 }
 
-void BrokerSide::AddMetrics(MetricSet& metrics) const {
+void BrokerService::AddMetrics(MetricSet& metrics) const {
   for (const auto& [pool, hosted] : m_brokers) {
     const Broker& broker = hosted.m_broker;
     const std::string label = "pool=\"" + pool + "\"";
--- a/apps/poppywayd/broker_side.h
+++ b/apps/poppywayd/broker_service.h
@@ -15,9 +15,9 @@
 namespace poppyway {
 
 /// \brief The brokers that this instance holds a lease for. Belongs to the control task.
-class BrokerSide {
+class BrokerService {
  public:
-  explicit BrokerSide(const DaemonSettings& settings) : m_settings(settings) {}
+  explicit BrokerService(const DaemonSettings& settings) : m_settings(settings) {}
 
   void OnCatalogue(std::shared_ptr<const Catalogue> catalogue);
   void OnLeaving(const std::set<std::string>& servers);
@@ -31,7 +31,7 @@
   /// Stops acting on every lease.
   void DropAll() { m_brokers.clear(); }
   /// True while requests wait at a broker here.
-  [[nodiscard]] bool Busy() const;
+  [[nodiscard]] bool HasPendingWork() const;
   void AddMetrics(MetricSet& metrics) const;
 
  private:
--- a/apps/poppywayd/control_server.cc
+++ b/apps/poppywayd/control_server.cc
@@ -32,7 +32,7 @@
 
 void Answer(const PendingRequest& pending, const platform::ControlResponse& answer) {
   if (pending.m_req != nullptr)
-    ReplyWhole(pending.m_req, answer.m_status, "application/json", answer.m_body);
+    SendResponse(pending.m_req, answer.m_status, "application/json", answer.m_body);
 }
 
 void LogCall(const platform::ControlRequest& call, int status, Instant begun) {
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-ControlServer::ControlServer(EventLoop& loop, const Endpoint& place, MemberSide& member)
+ControlServer::ControlServer(EventLoop& loop, const Endpoint& place, MemberService& member)
     : m_place(place),
       m_member(member),
       m_server(loop, HttpLimits{kMaxDocumentBytes, kIdleMillis}, [this](h2o_req_t* req) {
@@ -119,7 +119,7 @@
       POPPYWAY_LOG(warning, "call_refused")
           .Field("target", target.substr(0, kMostLogged))
           .Field("why", call.error().m_message);
-    ReplyWhole(req, answer.m_status, "application/json", answer.m_body);
+    SendResponse(req, answer.m_status, "application/json", answer.m_body);
     return;
   }
   const std::shared_ptr<PendingRequest> pending = Track(req);
--- a/apps/poppywayd/control_server.h
+++ b/apps/poppywayd/control_server.h
@@ -4,7 +4,7 @@
 
 #include <array>
 
-#include "member_side.h"
+#include "member_service.h"
 #include "poppyway/http.h"
 #include "poppyway/platform.h"
 #include "poppyway/settings.h"
@@ -15,7 +15,7 @@
 /// control task; the platform adapter translates the calls.
 class ControlServer {
  public:
-  ControlServer(EventLoop& loop, const Endpoint& place, MemberSide& member);
+  ControlServer(EventLoop& loop, const Endpoint& place, MemberService& member);
 
   [[nodiscard]] Result<void> Listen();
   void AddMetrics(MetricSet& metrics) const;
@@ -26,7 +26,7 @@
   [[nodiscard]] bool MayLogRefused(Instant now);
 
   Endpoint m_place;
-  MemberSide& m_member;
+  MemberService& m_member;
   HttpServer m_server;
   std::array<std::uint64_t, platform::kHeartbeatErrorCount> m_refused{};  ///< By fault.
   Instant m_lines_since{};
--- a/apps/poppywayd/control_task.cc
+++ b/apps/poppywayd/control_task.cc
@@ -2,7 +2,7 @@
 // Part of poppyway, a request scheduler for unlike engines.
 #include "control_task.h"
 
-#include "convert.h"
+#include "broker_convert.h"
 
 namespace poppyway {
 namespace {
@@ -30,7 +30,7 @@
                    m_brokers.OnLeaving(leaving.m_servers);
                    m_to_gateway(leaving);
                  }),
-      m_member(IsMember(settings) ? std::make_unique<MemberSide>(loop, settings) : nullptr),
+      m_member(IsMember(settings) ? std::make_unique<MemberService>(loop, settings) : nullptr),
       m_server(
           loop,
           [this](PeerConnection& connection, wire::Envelope envelope) {
@@ -84,8 +84,8 @@
   if (m_stop_requested.load() && !m_stopping) {
     m_stopping = true;
     POPPYWAY_LOG(info, "stopping")
-        .Field("leads", m_member && m_member->leads())
-        .Field("follows", m_member && m_member->Follows(now));
+        .Field("leads", m_member && m_member->is_leader())
+        .Field("follows", m_member && m_member->IsConnectedToQuorum(now));
     m_instance.BeginShutdown();
   }
   if (m_stopping && m_instance.ShutdownComplete()) {
@@ -94,7 +94,7 @@
   }
   m_ticked = ReadClock();
   // A member's elections and heartbeats need the short interval; others only when work waits.
-  return m_member || m_stopping || m_brokers.Busy() || m_instance.Busy();
+  return m_member || m_stopping || m_brokers.HasPendingWork() || m_instance.HasPendingWork();
 }
 
 SendQueueStats ControlTask::Queue() const {
@@ -173,7 +173,7 @@
     m_member->OnPoll(body.poll, reply);
   } else if (body.__isset.piece_request) {
     m_member->OnPieceRequest(body.piece_request, reply);
-  } else if (body.__isset.propose && m_member->leads()) {
+  } else if (body.__isset.propose && m_member->is_leader()) {
     m_member->OnPropose(body.propose, reply);
   } else if (body.__isset.propose && !body.propose.commands.empty() &&
              !body.propose.commands.front().__isset.config) {
@@ -184,14 +184,14 @@
 }
 
 void ControlTask::LeaderOnly(const ReplyFn& reply, const std::function<void()>& act) {
-  if (m_member->leads())
+  if (m_member->is_leader())
     act();
   else
     reply(m_member->NotLeader());  // Never passed on twice: leaders change, and calls would circle.
 }
 
 void ControlTask::OnOperator(const wire::Body& body, const ReplyFn& reply) {
-  const bool leads = m_member && m_member->leads();
+  const bool leads = m_member && m_member->is_leader();
   if (body.__isset.drain) {
     if (body.drain.instance != m_settings.m_instance) {
       reply(ErrorBody(ResultCode::kNotFound, "this is instance '" + m_settings.m_instance + "'"));
--- a/apps/poppywayd/control_task.h
+++ b/apps/poppywayd/control_task.h
@@ -6,10 +6,10 @@
 #include <functional>
 #include <memory>
 
-#include "broker_side.h"
-#include "instance_side.h"
-#include "member_side.h"
-#include "platform_list.h"
+#include "broker_service.h"
+#include "instance_agent.h"
+#include "leaving_server_poller.h"
+#include "member_service.h"
 #include "poppyway/gateway.h"
 
 namespace poppyway {
@@ -29,7 +29,7 @@
   /// Hosted: other ways to reach the members.
   void AddSeeds(const std::vector<MemberSettings>& seeds);
   /// Null on an instance without a disk.
-  [[nodiscard]] MemberSide* member() noexcept { return m_member.get(); }
+  [[nodiscard]] MemberService* member() noexcept { return m_member.get(); }
   /// Opens storage and listens for peers.
   [[nodiscard]] Result<void> Start();
   /// Messages of the gateway task arrive here, from any thread.
@@ -56,10 +56,10 @@
   EventLoop& m_loop;
   DaemonSettings m_settings;
   std::function<void(ControlMessage)> m_to_gateway;
-  BrokerSide m_brokers;
-  InstanceSide m_instance;
-  PlatformList m_platform;
-  std::unique_ptr<MemberSide> m_member;  ///< Null on an instance without a disk.
+  BrokerService m_brokers;
+  InstanceAgent m_instance;
+  LeavingServerPoller m_platform;
+  std::unique_ptr<MemberService> m_member;  ///< Null on an instance without a disk.
   PeerServer m_server;
   Mailbox<GatewayMessage> m_inbox;
   RepeatingTimer m_tick;
--- a/apps/poppywayd/hosted.cc
+++ b/apps/poppywayd/hosted_daemon.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-#include "hosted.h"
+#include "hosted_daemon.h"
 
 #include <atomic>
 #include <csignal>
@@ -66,15 +66,15 @@
   settings.m_peer = {hosted.m_address, hosted.m_first_internal_port};
   settings.m_members = SeedMembers(hosted);
   settings.m_data_folder = hosted.m_data_folder;
-  settings.m_member = !hosted.m_data_folder.empty();
-  settings.m_may_form = hosted.m_bootstrap;
+  settings.m_is_member = !hosted.m_data_folder.empty();
+  settings.m_may_bootstrap = hosted.m_bootstrap;
   settings.m_heartbeat_ms = kHeartbeatMs;
   settings.m_lease_ms = kLeaseMs;
   const Duration bound =
       hosted.m_key_revocation_limit > Duration(0) ? hosted.m_key_revocation_limit : kUnbounded;
   settings.m_exposure_share = hosted.m_exposure.m_share;
   settings.m_exposure_slack = hosted.m_exposure.m_slack;
-  settings.m_confirm_ms =
+  settings.m_confirmation_ttl_ms =
       static_cast<std::int64_t>(kConfirmShare * static_cast<double>(bound.count()) / 1000);
   return settings;
 }
@@ -104,7 +104,7 @@
 }
 
 /// Reads the limits of cold servers out of the operator's document.
-MemberSide::ColdLimitReader ColdReaderOf(const SlowStartTolerance& tolerance) {
+MemberService::ColdLimitReader ColdReaderOf(const SlowStartTolerance& tolerance) {
   return [tolerance, decode = platform::MakeProtocolAdapter().m_decode_document](
              const wire::Document& document) -> Result<std::map<std::string, SlowStartLimit>> {
     const Result<RouteTable> table = decode(document.version, document.body);
@@ -172,7 +172,7 @@
     m_control.AddMetrics(metrics);
     if (m_server)
       m_server->AddMetrics(metrics);
-    ReplyWhole(req, 200, "text/plain; version=0.0.4", metrics.Text());
+    SendResponse(req, 200, "text/plain; version=0.0.4", metrics.Text());
   }
 
   void CheckSignals() {
--- a/apps/poppywayd/instance_side.cc
+++ b/apps/poppywayd/instance_agent.cc
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-#include "instance_side.h"
+#include "instance_agent.h"
 
 #include <algorithm>
 
-#include "convert.h"
+#include "broker_convert.h"
 
 namespace poppyway {
 namespace {
@@ -44,11 +44,11 @@
 
 }  // namespace
 
-InstanceSide::InstanceSide(EventLoop& loop,
-                           const DaemonSettings& settings,
-                           std::string incarnation,
-                           BrokerSide& brokers,
-                           std::function<void(ControlMessage)> to_gateway)
+InstanceAgent::InstanceAgent(EventLoop& loop,
+                             const DaemonSettings& settings,
+                             std::string incarnation,
+                             BrokerService& brokers,
+                             std::function<void(ControlMessage)> to_gateway)
     : m_loop(loop),
       m_settings(settings),
       m_incarnation(std::move(incarnation)),
@@ -62,7 +62,7 @@
     m_poller = std::make_unique<HostedStatePoller>(MakePollerCallbacks());
 }
 
-std::size_t InstanceSide::ContactAt(const Endpoint& place) {
+std::size_t InstanceAgent::ContactAt(const Endpoint& place) {
   const auto known = std::find(m_places.begin(), m_places.end(), place);
   if (known != m_places.end())
     return static_cast<std::size_t>(known - m_places.begin());
@@ -77,16 +77,16 @@
   return index;
 }
 
-void InstanceSide::AddSeeds(const std::vector<MemberSettings>& seeds) {
+void InstanceAgent::AddSeeds(const std::vector<MemberSettings>& seeds) {
   for (const MemberSettings& seed : seeds)
     (void)ContactAt(seed.m_peer);
 }
 
-PeerClient& InstanceSide::Leader() {
+PeerClient& InstanceAgent::Leader() {
   return *m_members[m_leader];
 }
 
-void InstanceSide::Tick(Instant now) {
+void InstanceAgent::Tick(Instant now) {
   if (now >= m_beat_due)
     Beat(now);
   // Right after a restart of all, a member that lags may tell an older configuration than was
@@ -98,7 +98,7 @@
   if (fresh != m_fresh) {
     m_fresh = fresh;
     POPPYWAY_LOG(info, "freshness").Field("fresh", fresh).Field("version", m_version);
-    m_to_gateway(SetFresh{fresh});
+    m_to_gateway(ConfigFreshness{fresh});
   }
   if (m_poller)
     m_poller->Tick(m_leader_document, m_leader_servers, now);
@@ -108,7 +108,7 @@
   FlushCommands();
 }
 
-void InstanceSide::Beat(Instant now) {
+void InstanceAgent::Beat(Instant now) {
   m_beat_due = now + std::chrono::milliseconds(m_settings.m_heartbeat_ms);
   wire::Heartbeat beat;
   beat.instance = m_settings.m_instance;
@@ -139,7 +139,7 @@
                 });
 }
 
-void InstanceSide::OnBeatReply(const wire::HeartbeatReply& reply, Instant sent) {
+void InstanceAgent::OnBeatReply(const wire::HeartbeatReply& reply, Instant sent) {
   m_contact = std::max(m_contact, sent);
   m_leader_version = std::max(m_leader_version, reply.version);
   if (m_settings.m_hosted) {
@@ -154,7 +154,7 @@
 }
 
 /// Turns to the member that is named as leader, or to the next one.
-void InstanceSide::OnLeaderError(const Result<wire::Body>& reply) {
+void InstanceAgent::OnLeaderError(const Result<wire::Body>& reply) {
   ++m_beats_lost;
   if (m_broker_told && m_forwarder.m_send)
     m_forwarder.m_send(BrokerDisconnected{});
@@ -168,7 +168,7 @@
   m_beat_due = std::min(m_beat_due, ReadClock() + kProposeBackoff);
 }
 
-void InstanceSide::TakeLeases(int live, Instant sent) {
+void InstanceAgent::TakeLeases(int live, Instant sent) {
   const Instant now = ReadClock();
   for (const wire::LeaseGrant& lease : m_leases) {
     const bool ours = lease.holder == m_incarnation;
@@ -189,12 +189,12 @@
       if (body.__isset.grants)
         OnGrants(body.grants);
     });
-    line.m_client->SetOnLost([this, pool = lease.lease] { m_to_gateway(BrokerChanged{pool}); });
-    m_to_gateway(BrokerChanged{lease.lease});
+    line.m_client->SetOnLost([this, pool = lease.lease] { m_to_gateway(BrokerReconnected{pool}); });
+    m_to_gateway(BrokerReconnected{lease.lease});
   }
 }
 
-void InstanceSide::Poll() {
+void InstanceAgent::Poll() {
   m_polling = true;
   wire::ConfigPoll poll;
   poll.have_version = m_version;
@@ -211,16 +211,16 @@
   });
 }
 
-void InstanceSide::PollNext() {
+void InstanceAgent::PollNext() {
   m_poll_member = (m_poll_member + 1) % m_members.size();
   m_poll_after = ReadClock() + kPollBackoff;
 }
 
-void InstanceSide::AvoidSource(std::size_t member, Instant now) {
+void InstanceAgent::AvoidSource(std::size_t member, Instant now) {
   m_sources[member].m_ejected_until = now + kAvoidSource;
 }
 
-void InstanceSide::OnDelta(const wire::ConfigDelta& delta) {
+void InstanceAgent::OnDelta(const wire::ConfigDelta& delta) {
   if (delta.to_version < m_version) {
     // A member that lags behind us is no source; ask another.
     PollNext();
@@ -237,7 +237,7 @@
   }
   const auto shared = std::make_shared<const Catalogue>(std::move(*catalogue));
   m_brokers.OnCatalogue(shared);
-  m_to_gateway(NewCatalogue{shared});
+  m_to_gateway(CatalogueUpdate{shared});
   POPPYWAY_LOG(info, "configuration_in_force").Field("version", m_version);
   Beat(ReadClock());  // The leader learns at once what is in force here.
   // Adopting changes takes at most a hundredth of the time, however fast they come.
@@ -245,7 +245,7 @@
   m_poll_after = now + std::min<Duration>(kAdoptionRest * (now - begun).count(), kMaxAdoptionRest);
 }
 
-void InstanceSide::HandleMessage(GatewayMessage message) {
+void InstanceAgent::HandleMessage(GatewayMessage message) {
   const Instant now = ReadClock();
   if (auto* claim = std::get_if<ClaimKey>(&message)) {
     ++m_claims;
@@ -273,7 +273,7 @@
   }
 }
 
-void InstanceSide::FlushCommands() {
+void InstanceAgent::FlushCommands() {
   while (!m_commands.empty() && m_proposals_out < kMaxProposalsOut &&
          ReadClock() >= m_propose_after) {
     std::vector<QueuedCommand> sent;
@@ -294,7 +294,7 @@
   }
 }
 
-void InstanceSide::OnProposed(std::vector<QueuedCommand> sent, const Result<wire::Body>& reply) {
+void InstanceAgent::OnProposed(std::vector<QueuedCommand> sent, const Result<wire::Body>& reply) {
   --m_proposals_out;
   const bool done =
       reply && reply->__isset.propose_reply && reply->propose_reply.results.size() == sent.size();
@@ -316,11 +316,11 @@
   OnLeaderError(reply);
 }
 
-void InstanceSide::Answer(RequestRef ref, const wire::ClaimResult& result) {
-  m_to_gateway(ClaimAnswer{ref, result});
+void InstanceAgent::Answer(RequestRef ref, const wire::ClaimResult& result) {
+  m_to_gateway(ClaimReply{ref, result});
 }
 
-void InstanceSide::LogClaim(const char* event, const QueuedCommand& command) {
+void InstanceAgent::LogClaim(const char* event, const QueuedCommand& command) {
   const Instant now = ReadClock();
   POPPYWAY_LOG(info, event)
       .Field("waited_ms", (now - command.m_asked).count() / 1000)
@@ -328,7 +328,7 @@
       .Field("tries", command.m_tries);
 }
 
-void InstanceSide::GiveUp(const QueuedCommand& command) {
+void InstanceAgent::GiveUp(const QueuedCommand& command) {
   if (command.m_ref == 0)
     return;
   LogClaim("claim_given_up", command);
@@ -343,7 +343,7 @@
   m_commands.push_back(std::move(release));
 }
 
-void InstanceSide::ExpireCommands(Instant now) {
+void InstanceAgent::ExpireCommands(Instant now) {
   std::vector<QueuedCommand> expired;
   std::deque<QueuedCommand> kept;
   for (QueuedCommand& command : m_commands) {
@@ -357,12 +357,12 @@
     GiveUp(command);
 }
 
-void InstanceSide::OnDemand(const SendDemand& message) {
+void InstanceAgent::OnDemand(const SendDemand& message) {
   const auto found = m_lines.find(message.m_pool);
   const Instant now = ReadClock();
   if (found == m_lines.end()) {
     // No broker is known yet. Uses of credits matter to none; the rest is sent again.
-    m_to_gateway(BrokerChanged{message.m_pool});
+    m_to_gateway(BrokerReconnected{message.m_pool});
     return;
   }
   BrokerLine& line = found->second;
@@ -375,17 +375,17 @@
   line.m_client->Notify(std::move(body));
 }
 
-void InstanceSide::OnGrants(const wire::Grants& grants) {
+void InstanceAgent::OnGrants(const wire::Grants& grants) {
   const auto found = m_lines.find(grants.pool);
   const bool current = found != m_lines.end() && found->second.m_lease.epoch == grants.epoch;
   if (!current)
     return;
   if (grants.not_broker) {
-    m_to_gateway(BrokerChanged{grants.pool});
+    m_to_gateway(BrokerReconnected{grants.pool});
     return;
   }
   BrokerLine& line = found->second;
-  TakeGrants message;
+  GrantsReceived message;
   message.m_pool = grants.pool;
   message.m_batch = FromWire(grants);
   const auto sent = line.m_sent.find(grants.sequence);
@@ -396,7 +396,7 @@
   m_to_gateway(std::move(message));
 }
 
-void InstanceSide::BeginShutdown() {
+void InstanceAgent::BeginShutdown() {
   if (m_stopping)
     return;
   m_stopping = true;
@@ -405,11 +405,11 @@
   m_to_gateway(ControlMessage(poppyway::BeginShutdown{}));
 }
 
-bool InstanceSide::ShutdownComplete() const {
+bool InstanceAgent::ShutdownComplete() const {
   return m_drained && m_commands.empty() && m_proposals_out == 0;
 }
 
-void InstanceSide::Forward(const wire::Body& body, const std::function<void(wire::Body)>& reply) {
+void InstanceAgent::Forward(const wire::Body& body, const std::function<void(wire::Body)>& reply) {
   Leader().Call(body, kForwardTimeout, [this, reply](Result<wire::Body> answer) {
     const bool misled =
         !answer || (answer->__isset.error &&
@@ -424,7 +424,7 @@
   });
 }
 
-std::uint64_t InstanceSide::bytes_sent() const {
+std::uint64_t InstanceAgent::bytes_sent() const {
   std::uint64_t bytes = 0;
   for (const auto& member : m_members)
     bytes += member->bytes_sent();
@@ -433,14 +433,14 @@
   return bytes;
 }
 
-SendQueueStats InstanceSide::queue_stats() const {
+SendQueueStats InstanceAgent::queue_stats() const {
   SendQueueStats all;
   for (const auto& member : m_members)
     all = CombineQueueStats(all, member->queue_stats());
   return all;
 }
 
-void InstanceSide::AddMetrics(MetricSet& metrics) const {
+void InstanceAgent::AddMetrics(MetricSet& metrics) const {
   metrics.Set("poppyway_version_in_force", "", static_cast<double>(m_version));
   metrics.Set("poppyway_fresh", "", m_fresh ? 1 : 0);
   metrics.Set("poppyway_ledger_claims", "", static_cast<double>(m_claims));
--- a/apps/poppywayd/instance_side.h
+++ b/apps/poppywayd/instance_agent.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "broker_side.h"
+#include "broker_service.h"
 #include "poppyway/forward.h"
 #include "poppyway/gateway.h"
 #include "poppyway/polling.h"
@@ -21,13 +21,13 @@
 
 /// \brief What every instance does towards the members and the brokers: heartbeats, configuration,
 /// ledger claims, demands. Belongs to the control task.
-class InstanceSide {
+class InstanceAgent {
  public:
-  InstanceSide(EventLoop& loop,
-               const DaemonSettings& settings,
-               std::string incarnation,
-               BrokerSide& brokers,
-               std::function<void(ControlMessage)> to_gateway);
+  InstanceAgent(EventLoop& loop,
+                const DaemonSettings& settings,
+                std::string incarnation,
+                BrokerService& brokers,
+                std::function<void(ControlMessage)> to_gateway);
 
   /// Hosted: news goes to the forwarder instead of the gateway.
   void SetForwarder(ForwarderPort port) { m_forwarder = std::move(port); }
@@ -44,7 +44,7 @@
   void Forward(const wire::Body& body, const std::function<void(wire::Body)>& reply);
   [[nodiscard]] std::int64_t version() const noexcept { return m_version; }
   /// True while commands for the ledger wait.
-  [[nodiscard]] bool Busy() const { return !m_commands.empty(); }
+  [[nodiscard]] bool HasPendingWork() const { return !m_commands.empty(); }
   void AddMetrics(MetricSet& metrics) const;
   [[nodiscard]] SendQueueStats queue_stats() const;
   /// To members and brokers.
@@ -109,7 +109,7 @@
   EventLoop& m_loop;
   DaemonSettings m_settings;
   std::string m_incarnation;
-  BrokerSide& m_brokers;
+  BrokerService& m_brokers;
   std::function<void(ControlMessage)> m_to_gateway;
   ForwarderPort m_forwarder;
   std::vector<std::unique_ptr<PeerClient>> m_members;
--- a/apps/poppywayd/instance_hosted.cc
+++ b/apps/poppywayd/instance_hosted.cc
@@ -3,11 +3,11 @@
 // What an instance does in hosted deployments only: the operator's document, backend servers that
 // register themselves, the broker of places.
 
-#include "instance_side.h"
+#include "instance_agent.h"
 #include "slot_convert.h"
 
 namespace poppyway {
-void InstanceSide::OnHostedBeat(const wire::HeartbeatReply& reply, Instant sent) {
+void InstanceAgent::OnHostedBeat(const wire::HeartbeatReply& reply, Instant sent) {
   if (!reply.members.empty()) {
     TakeMembers(reply.members);
     m_members_digest = reply.members_digest;
@@ -26,32 +26,33 @@
   }
 }
 
-void InstanceSide::TakeMembers(const std::vector<wire::MemberInfo>& members) {
+void InstanceAgent::TakeMembers(const std::vector<wire::MemberInfo>& members) {
   for (const wire::MemberInfo& member : members) {
     const std::size_t index = ContactAt({member.address, static_cast<std::uint16_t>(member.port)});
     m_sources[index].m_data_centre = member.data_centre;
   }
 }
 
-std::size_t InstanceSide::NearestSource(Instant now) const {
+std::size_t InstanceAgent::NearestSource(Instant now) const {
   const PollerLocation here{m_settings.m_data_centre, m_settings.m_region};
   return ChoosePollSource(m_sources, m_settings.m_regions, here, Hash(m_incarnation), now);
 }
 
-void InstanceSide::PublishConfirmation() {
+void InstanceAgent::PublishConfirmation() {
   // A member's news may come before any leader has answered; only a leader confirms.
   const bool asked = m_leader_asked != Instant{};
   const std::int64_t version = m_poller->document_version();
   if (!asked || version == 0 || version < m_leader_document)
     return;
-  const Instant until = m_leader_asked + std::chrono::milliseconds(m_settings.m_confirm_ms);
+  const Instant until =
+      m_leader_asked + std::chrono::milliseconds(m_settings.m_confirmation_ttl_ms);
   if (until <= m_published_until)
     return;
   m_published_until = until;
   m_forwarder.m_send(ConfirmedUntil{until});
 }
 
-PollerCallbacks InstanceSide::MakePollerCallbacks() {
+PollerCallbacks InstanceAgent::MakePollerCallbacks() {
   PollerCallbacks port;
   port.m_call_member = [this](std::size_t member, wire::Body body, Duration timeout,
                               PeerClient::OnReply on_reply) {
@@ -76,7 +77,7 @@
   return port;
 }
 
-void InstanceSide::OnLeaderNamed(const wire::ConfigDelta& delta) {
+void InstanceAgent::OnLeaderNamed(const wire::ConfigDelta& delta) {
   if (delta.leader_term <= m_leader_term)
     return;
   m_leader_term = delta.leader_term;
@@ -86,7 +87,7 @@
   FindBrokerAnew();
 }
 
-void InstanceSide::OnPush(std::size_t index, const wire::Body& body) {
+void InstanceAgent::OnPush(std::size_t index, const wire::Body& body) {
   if (index != m_leader || !body.__isset.place_answers)
     return;
   if (body.place_answers.not_broker) {
@@ -102,19 +103,19 @@
   m_forwarder.m_send(std::move(message));
 }
 
-void InstanceSide::OnMemberLost(std::size_t index) {
+void InstanceAgent::OnMemberLost(std::size_t index) {
   if (index == m_leader && m_broker_told)
     FindBrokerAnew();
 }
 
-void InstanceSide::FindBrokerAnew() {
+void InstanceAgent::FindBrokerAnew() {
   if (m_broker_told)
     m_forwarder.m_send(BrokerDisconnected{});
   m_broker_told = false;
   m_beat_due = std::min(m_beat_due, ReadClock());
 }
 
-BrokerPort InstanceSide::MakeSlotBrokerPort() {
+BrokerPort InstanceAgent::MakeSlotBrokerPort() {
   BrokerPort port;
   port.m_send = [this](SlotBatch batch) {
     wire::Body body;
--- a/apps/poppywayd/platform_list.cc
+++ b/apps/poppywayd/leaving_server_poller.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-#include "platform_list.h"
+#include "leaving_server_poller.h"
 
 #include <nlohmann/json.hpp>
 
@@ -11,7 +11,9 @@
 
 }  // namespace
 
-PlatformList::PlatformList(EventLoop& loop, const std::string& url, OnChange on_change)
+LeavingServerPoller::LeavingServerPoller(EventLoop& loop,
+                                         const std::string& url,
+                                         OnChange on_change)
     : m_loop(loop), m_on_change(std::move(on_change)) {
   if (url.empty())
     return;
@@ -21,16 +23,16 @@
   m_pools = std::make_unique<UpstreamPools>(loop);
 }
 
-void PlatformList::Tick(Instant now) {
+void LeavingServerPoller::Tick(Instant now) {
   if (!m_pools || now < m_due)
     return;
   m_due = now + kInterval;
   Poll();
 }
 
-void PlatformList::Poll() {
+void LeavingServerPoller::Poll() {
   if (m_call) {
-    m_call->Silence();
+    m_call->SuppressEvents();
     m_old_call = std::move(m_call);
   }
   m_body.clear();
@@ -45,7 +47,7 @@
   m_call = std::make_unique<Upstream>(*m_pools, m_endpoint, request, false, std::move(events));
 }
 
-void PlatformList::Take(const std::string& body) {
+void LeavingServerPoller::Take(const std::string& body) {
   const nlohmann::json parsed = nlohmann::json::parse(body, nullptr, /*allow_exceptions=*/false);
   const bool readable =
       parsed.is_object() && parsed.contains("leaving") && parsed["leaving"].is_array();
--- a/apps/poppywayd/platform_list.h
+++ b/apps/poppywayd/leaving_server_poller.h
@@ -17,12 +17,12 @@
 ///
 /// The list is JSON, `{"leaving": ["server", ...]}`, and may lag. While it can't be read, what it
 /// last said holds: a server that was leaving stays so.
-class PlatformList {
+class LeavingServerPoller {
  public:
   using OnChange = std::function<void(const LeavingServers&)>;
 
   /// \param url `address:port/path`; empty: nothing is polled.
-  PlatformList(EventLoop& loop, const std::string& url, OnChange on_change);
+  LeavingServerPoller(EventLoop& loop, const std::string& url, OnChange on_change);
   void Tick(Instant now);
   [[nodiscard]] std::uint64_t failures() const noexcept { return m_failures; }
 
--- a/apps/poppywayd/main.cc
+++ b/apps/poppywayd/main.cc
@@ -11,7 +11,7 @@
 #include <boost/program_options.hpp>
 
 #include "control_task.h"
-#include "hosted.h"
+#include "hosted_daemon.h"
 #include "incarnation.h"
 #include "poppyway/gateway.h"
 
--- a/apps/poppywayd/member_disk.cc
+++ b/apps/poppywayd/member_disk.cc
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <utility>
 
-#include "member_side.h"
+#include "member_service.h"
 
 namespace poppyway {
 namespace {
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-void MemberSide::FatalDisk(const Error& why) {
+void MemberService::FatalDisk(const Error& why) {
   POPPYWAY_LOG(fatal, "disk_failed").Field("why", why.m_message);
   // What was not synced was not acknowledged; going on could acknowledge what is lost.
   std::_Exit(kDiskFailedExit);
 }
 
-void MemberSide::HoldBack(LogEffects&& effects, const Error& why) {
+void MemberService::HoldBack(LogEffects&& effects, const Error& why) {
   if (m_disk_full_since == Instant{}) {
     m_disk_full_since = ReadClock();
     POPPYWAY_LOG(error, "disk_full").Field("why", why.m_message);
@@ -32,12 +32,12 @@
   m_disk_retry = ReadClock() + kDiskRetryInterval;
 }
 
-void MemberSide::PutBack(LogEffects&& effects) {
+void MemberService::PutBack(LogEffects&& effects) {
   MergeEffects(effects, std::move(m_unsaved));
   m_unsaved = std::move(effects);
 }
 
-void MemberSide::RetryDisk(Instant now) {
+void MemberService::RetryDisk(Instant now) {
   if (!m_disk_full || now < m_disk_retry)
     return;
   m_disk_retry = now + kDiskRetryInterval;
@@ -46,7 +46,7 @@
   Apply(committed);
 }
 
-void MemberSide::DiskHasRoom() {
+void MemberService::DiskHasRoom() {
   m_disk_full = false;
   POPPYWAY_LOG(info, "disk_has_room")
       .Field("last_index", LastIndex(m_node))
@@ -54,19 +54,19 @@
   m_disk_full_since = Instant{};
 }
 
-void MemberSide::Flush() {
+void MemberService::Flush() {
   m_flush_due = false;
   if (m_disk_full)
     return;
-  const bool led = leads();
+  const bool led = is_leader();
   const std::vector<wire::LogEntry> committed = Perform();
   StartSave();
   Apply(committed);
-  if (!led && !m_pending.empty() && !leads())
+  if (!led && !m_pending.empty() && !is_leader())
     FailPending("leadership was lost");
 }
 
-std::vector<wire::LogEntry> MemberSide::Perform() {
+std::vector<wire::LogEntry> MemberService::Perform() {
   LogEffects effects = std::exchange(m_effects, {});
   if (effects.m_install) {
     if (Result<void> loaded = RestoreStateMachine(m_machine, *effects.m_install); !loaded)
@@ -79,7 +79,7 @@
   return committed;
 }
 
-void MemberSide::SendOrHold(std::vector<wire::LogMessage> messages) {
+void MemberService::SendOrHold(std::vector<wire::LogMessage> messages) {
   for (wire::LogMessage& message : messages) {
     if (!m_disk_full && IsSafeToSend(m_node, message))
       SendTo(message);
@@ -88,7 +88,7 @@
   }
 }
 
-void MemberSide::StartSave() {
+void MemberService::StartSave() {
   if (m_node.m_save_in_progress)
     return;
   LogSave save;
@@ -104,7 +104,7 @@
   m_writer->Save(std::move(save));
 }
 
-void MemberSide::OnSaved(SaveOutcome outcome) {
+void MemberService::OnSaved(SaveOutcome outcome) {
   m_sync_times.Record(outcome.m_took);
   LogSave& save = outcome.m_save;
   if (!outcome.m_result) {
@@ -136,7 +136,7 @@
   Flush();
 }
 
-bool MemberSide::SnapshotDue() const {
+bool MemberService::SnapshotDue() const {
   const std::int64_t behind = m_machine.m_applied_index - m_node.m_snapshot_index;
   return behind >= m_settings.m_snapshot_entries && !m_disk_full && !m_unsaved.m_install;
 }
--- a/apps/poppywayd/member_document.cc
+++ b/apps/poppywayd/member_document.cc
@@ -5,8 +5,8 @@
 
 #include <utility>
 
-#include "convert.h"
-#include "member_side.h"
+#include "broker_convert.h"
+#include "member_service.h"
 
 namespace poppyway {
 namespace {
@@ -43,8 +43,8 @@
 
 }  // namespace
 
-void MemberSide::SubmitDocument(const wire::Document& document, const ReplyFn& reply) {
-  if (!leads()) {
+void MemberService::SubmitDocument(const wire::Document& document, const ReplyFn& reply) {
+  if (!is_leader()) {
     ForwardDocument(document, false, reply);
     return;
   }
@@ -77,7 +77,7 @@
   m_waiting_document->m_replies.push_back(reply);
 }
 
-void MemberSide::AwaitState(const ReplyFn& reply, std::function<void()> act) {
+void MemberService::AwaitState(const ReplyFn& reply, std::function<void()> act) {
   wire::Command command;
   command.__set_noop(true);
   Commit(std::move(command), [reply, act = std::move(act)](wire::Body answer) {
@@ -88,7 +88,7 @@
   });
 }
 
-void MemberSide::ProposeDocument(DocumentOrder order) {
+void MemberService::ProposeDocument(DocumentOrder order) {
   const Instant begun = ReadClock();
   wire::DocumentChange change = DiffDocuments(m_machine.m_hosted.m_document, order.m_document);
   POPPYWAY_LOG(info, "document_proposed")
@@ -104,7 +104,7 @@
   OnPropose(propose, [this](const wire::Body& answer) { OnDocumentProposed(answer); });
 }
 
-void MemberSide::OnDocumentProposed(const wire::Body& answer) {
+void MemberService::OnDocumentProposed(const wire::Body& answer) {
   const DocumentOrder order = std::exchange(m_proposed_document, std::nullopt).value();
   if (answer.__isset.error)
     ReplyAll(order.m_replies, answer);
@@ -117,7 +117,7 @@
     return;
   const DocumentOrder waiting = std::exchange(m_waiting_document, std::nullopt).value();
   const bool newer = waiting.m_document.version > m_machine.m_hosted.m_document.version;
-  if (leads() && newer) {
+  if (is_leader() && newer) {
     ProposeDocument(waiting);
     return;
   }
@@ -125,7 +125,9 @@
     SubmitDocument(waiting.m_document, reply);
 }
 
-void MemberSide::ForwardDocument(const wire::Document& document, bool whole, const ReplyFn& reply) {
+void MemberService::ForwardDocument(const wire::Document& document,
+                                    bool whole,
+                                    const ReplyFn& reply) {
   const wire::Document& held = m_machine.m_hosted.m_document;
   wire::DocumentChange change;
   if (document.version > held.version)
@@ -142,8 +144,8 @@
   });
 }
 
-void MemberSide::SubmitDocumentChange(const wire::DocumentChange& change, const ReplyFn& reply) {
-  if (leads() && !HoldsAllCommitted(m_node, m_machine.m_applied_index)) {
+void MemberService::SubmitDocumentChange(const wire::DocumentChange& change, const ReplyFn& reply) {
+  if (is_leader() && !HoldsAllCommitted(m_node, m_machine.m_applied_index)) {
     AwaitState(reply, [this, change, reply] { SubmitDocumentChange(change, reply); });
     return;
   }
@@ -161,8 +163,8 @@
   SubmitDocument(document, reply);
 }
 
-void MemberSide::ReadDocument(const ReplyFn& reply) {
-  if (leads()) {
+void MemberService::ReadDocument(const ReplyFn& reply) {
+  if (is_leader()) {
     if (!LeadsForSure(reply))
       return;
     wire::Body body;
@@ -190,7 +192,7 @@
   });
 }
 
-void MemberSide::ReadDocumentSteps(const wire::DocumentRead& read, const ReplyFn& reply) {
+void MemberService::ReadDocumentSteps(const wire::DocumentRead& read, const ReplyFn& reply) {
   if (!LeadsForSure(reply))
     return;
   wire::DocumentSteps steps;
--- a/apps/poppywayd/member_evacuation.cc
+++ b/apps/poppywayd/member_evacuation.cc
@@ -4,16 +4,16 @@
 
 #include <algorithm>
 
-#include "convert.h"
-#include "member_side.h"
+#include "broker_convert.h"
+#include "member_service.h"
 
 namespace poppyway {
 
-void MemberSide::SubmitEvacuation(const wire::EvacuationOrder& order, const ReplyFn& reply) {
+void MemberService::SubmitEvacuation(const wire::EvacuationOrder& order, const ReplyFn& reply) {
   wire::EvacuationOrder dated = order;
   if (!order.__isset.known)
     dated.__set_known(LastEvacuationNumber(m_machine.m_hosted, order.data_centre));
-  if (!leads()) {
+  if (!is_leader()) {
     wire::Body body;
     body.__set_evacuation_order(dated);
     AskLeader(std::move(body), reply);
@@ -57,7 +57,7 @@
   });
 }
 
-std::vector<wire::EvacuationStatus> MemberSide::EvacuationStatuses() const {
+std::vector<wire::EvacuationStatus> MemberService::EvacuationStatuses() const {
   const HostedState& hosted = m_machine.m_hosted;
   std::vector<wire::EvacuationStatus> statuses;
   for (const auto& [data_centre, evacuation] : hosted.m_evacuations) {
--- a/apps/poppywayd/member_hosted.cc
+++ b/apps/poppywayd/member_hosted.cc
@@ -5,8 +5,8 @@
 
 #include <algorithm>
 
-#include "convert.h"
-#include "member_side.h"
+#include "broker_convert.h"
+#include "member_service.h"
 
 namespace poppyway {
 namespace {
@@ -25,16 +25,16 @@
 
 }  // namespace
 
-void MemberSide::AddSeeds(const std::vector<MemberSettings>& seeds) {
+void MemberService::AddSeeds(const std::vector<MemberSettings>& seeds) {
   for (const MemberSettings& seed : seeds)
     (void)PeerNamed(seed.m_name);
 }
 
-std::string MemberSide::MemberName() const {
+std::string MemberService::MemberName() const {
   return m_settings.m_hosted ? ToText(m_settings.m_peer) : m_settings.m_instance;
 }
 
-PeerClient* MemberSide::PeerNamed(const std::string& name) {
+PeerClient* MemberService::PeerNamed(const std::string& name) {
   const auto known = m_peers.find(name);
   if (known != m_peers.end())
     return known->second.get();
@@ -48,7 +48,7 @@
   return m_peers.emplace(name, std::move(client)).first->second.get();
 }
 
-bool MemberSide::HasNews(const wire::ConfigPoll& poll) const {
+bool MemberService::HasNews(const wire::ConfigPoll& poll) const {
   if (!poll.hosted)
     return m_machine.m_configuration.m_version > poll.have_version;
   const HostedState& hosted = m_machine.m_hosted;
@@ -58,17 +58,17 @@
          (hosted.m_servers_index > poll.have_servers && MayTellServers(poll));
 }
 
-bool MemberSide::MayTellServers(const wire::ConfigPoll& poll) const {
+bool MemberService::MayTellServers(const wire::ConfigPoll& poll) const {
   const bool starting = poll.have_servers == 0;
   return starting || ReadClock() >= m_servers_told + kServerNewsInterval;
 }
 
-std::int64_t MemberSide::KnownLeaderTerm() const {
+std::int64_t MemberService::KnownLeaderTerm() const {
   const wire::MemberInfo* leader = FindMember(m_node.m_membership, m_node.m_leader);
   return leader == nullptr ? 0 : m_node.m_hard_state.term;
 }
 
-wire::ConfigDelta MemberSide::NewsFor(const wire::ConfigPoll& poll) {
+wire::ConfigDelta MemberService::NewsFor(const wire::ConfigPoll& poll) {
   const HostedState& hosted = m_machine.m_hosted;
   wire::ConfigDelta delta;
   if (poll.kind == wire::NewsKind::DOCUMENT) {
@@ -91,7 +91,7 @@
   return delta;
 }
 
-void MemberSide::OnPieceRequest(const wire::PieceRequest& request, const ReplyFn& reply) {
+void MemberService::OnPieceRequest(const wire::PieceRequest& request, const ReplyFn& reply) {
   wire::Piece piece;
   const wire::DocumentChange* step =
       FindDocumentChange(m_document_history, request.base, request.version);
@@ -104,11 +104,11 @@
   reply(std::move(body));
 }
 
-bool MemberSide::LacksLeader(Instant now) const {
-  return !leads() && now - m_node.m_last_leader_contact > kLeaderMissed;
+bool MemberService::LacksLeader(Instant now) const {
+  return !is_leader() && now - m_node.m_last_leader_contact > kLeaderMissed;
 }
 
-void MemberSide::AskLeader(wire::Body body, const ReplyFn& reply) {
+void MemberService::AskLeader(wire::Body body, const ReplyFn& reply) {
   const auto name = m_names.find(m_node.m_leader);
   const wire::MemberInfo* leader = FindMember(m_node.m_membership, m_node.m_leader);
   PeerClient* peer = nullptr;
@@ -125,7 +125,7 @@
   });
 }
 
-void MemberSide::Commit(wire::Command command, const ReplyFn& reply) {
+void MemberService::Commit(wire::Command command, const ReplyFn& reply) {
   wire::Propose propose;
   propose.commands.push_back(std::move(command));
   OnPropose(propose, [reply](wire::Body answer) {
@@ -139,23 +139,23 @@
   });
 }
 
-bool MemberSide::Confirmed(Instant now) const {
+bool MemberService::Confirmed(Instant now) const {
   return CanServeLinearizableReads(m_node, m_machine.m_applied_index, now);
 }
 
-bool MemberSide::LeadsForSure(const ReplyFn& reply) const {
+bool MemberService::LeadsForSure(const ReplyFn& reply) const {
   if (Confirmed(ReadClock()))
     return true;
   reply(ErrorBody(ResultCode::kNoMajority, "this leader is not confirmed by a majority"));
   return false;
 }
 
-void MemberSide::SetColdLimitReader(ColdLimitReader reader) {
+void MemberService::SetColdLimitReader(ColdLimitReader reader) {
   m_cold_limit_reader = std::move(reader);
   ReadColdLimits();
 }
 
-void MemberSide::ReadColdLimits() {
+void MemberService::ReadColdLimits() {
   const wire::Document& document = m_machine.m_hosted.m_document;
   if (!m_cold_limit_reader || document.version == 0)
     return;
@@ -169,7 +169,7 @@
   m_places.UpdateColdLimits(std::move(*limits), ReadClock());
 }
 
-void MemberSide::ExpectWarmth(std::int64_t index, Instant now) {
+void MemberService::ExpectWarmth(std::int64_t index, Instant now) {
   for (const wire::ServerRecord& record : ServersSince(m_machine.m_hosted, index)) {
     if (record.cold_for_ms > 0 && record.stage != wire::ServerStage::GONE)
       m_cold_until[record.id] = now + std::chrono::milliseconds(record.cold_for_ms);
@@ -178,7 +178,7 @@
   }
 }
 
-bool MemberSide::TellsNews(const wire::ServerRecord& record) const {
+bool MemberService::TellsNews(const wire::ServerRecord& record) const {
   if (ChangesServer(m_machine.m_hosted, record))
     return true;
   const auto expected = m_cold_until.find(record.id);
@@ -188,26 +188,26 @@
   return until > expected->second + kColdWordSlack;
 }
 
-bool MemberSide::KnowsAlready(const wire::ServerRecord& record) const {
+bool MemberService::KnowsAlready(const wire::ServerRecord& record) const {
   const bool followed = ReadClock() - m_node.m_last_leader_contact <= kLeaderMissed;
   return followed && !TellsNews(record);
 }
 
-void MemberSide::SubmitServer(const wire::ServerRecord& record, const ReplyFn& reply) {
-  if (!leads() && KnowsAlready(record)) {
+void MemberService::SubmitServer(const wire::ServerRecord& record, const ReplyFn& reply) {
+  if (!is_leader() && KnowsAlready(record)) {
     wire::Body done;
     done.__set_done(true);
     reply(std::move(done));
     return;
   }
-  if (!leads()) {
+  if (!is_leader()) {
     wire::Body body;
     body.__set_server_seen(record);
     AskLeader(std::move(body), reply);
     return;
   }
   if (TellsNews(record)) {
-    if (m_registry.Refuses(m_machine.m_hosted, record)) {
+    if (m_registry.Rejects(m_machine.m_hosted, record)) {
       if (LeadsForSure(reply))
         reply(ErrorBody(ResultCode::kNotFound, "no pool '" + record.pool +
                                                    "' is configured, and too many such servers "
@@ -226,14 +226,14 @@
   reply(std::move(done));
 }
 
-bool MemberSide::KnowsPool(const std::string& pool) const {
+bool MemberService::KnowsPool(const std::string& pool) const {
   const auto& servers = m_machine.m_hosted.m_servers;
   return std::any_of(servers.begin(), servers.end(),
                      [&pool](const auto& entry) { return entry.second.pool == pool; });
 }
 
-void MemberSide::SubmitRollout(const wire::RolloutOrder& order, const ReplyFn& reply) {
-  if (!leads()) {
+void MemberService::SubmitRollout(const wire::RolloutOrder& order, const ReplyFn& reply) {
+  if (!is_leader()) {
     wire::Body body;
     body.__set_rollout_order(order);
     AskLeader(std::move(body), reply);
@@ -242,7 +242,7 @@
   wire::Body done;
   done.__set_done(true);
   const Instant now = ReadClock();
-  if (m_rollouts.Repeats(m_machine.m_hosted, order, now) && Confirmed(now)) {
+  if (m_rollouts.IsRetriedOrder(m_machine.m_hosted, order, now) && Confirmed(now)) {
     reply(std::move(done));
     return;
   }
@@ -273,8 +273,8 @@
   });
 }
 
-void MemberSide::ReadRollout(const std::string& pool, const ReplyFn& reply) {
-  if (!leads()) {
+void MemberService::ReadRollout(const std::string& pool, const ReplyFn& reply) {
+  if (!is_leader()) {
     wire::Body body;
     body.__set_rollout_request(pool);
     AskLeader(std::move(body), reply);
@@ -292,7 +292,7 @@
   reply(std::move(body));
 }
 
-void MemberSide::ProposeRollouts(Instant now) {
+void MemberService::ProposeRollouts(Instant now) {
   if (!m_settings.m_hosted)
     return;
   std::vector<wire::Command> commands;
--- a/apps/poppywayd/member_side.cc
+++ b/apps/poppywayd/member_service.cc
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-#include "member_side.h"
+#include "member_service.h"
 
 #include <cstdlib>
 #include <random>
 #include <set>
 
-#include "convert.h"
+#include "broker_convert.h"
 
 namespace poppyway {
 namespace {
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-MemberSide::MemberSide(EventLoop& loop, const DaemonSettings& settings)
+MemberService::MemberService(EventLoop& loop, const DaemonSettings& settings)
     : m_loop(loop),
       m_settings(settings),
       m_places({settings.m_exposure_share, settings.m_exposure_slack}, settings.m_regions),
@@ -50,9 +50,9 @@
   }
 }
 
-MemberSide::~MemberSide() = default;
+MemberService::~MemberService() = default;
 
-Result<void> MemberSide::Open() {
+Result<void> MemberService::Open() {
   StoredLog stored;
   Result<std::unique_ptr<LogStore>> store =
       LogStore::Open(m_settings.m_data_folder, m_settings.m_cluster, RandomId(), stored);
@@ -79,7 +79,7 @@
   return {};
 }
 
-void MemberSide::OnStateReplaced() {
+void MemberService::OnStateReplaced() {
   const Instant now = ReadClock();
   m_document_history = {};
   m_rollouts.OnApplied(m_machine.m_hosted, now);
@@ -88,7 +88,7 @@
   ExpectWarmth(0, now);
 }
 
-wire::MemberInfo MemberSide::Self() const {
+wire::MemberInfo MemberService::Self() const {
   wire::MemberInfo self;
   self.id = m_node.m_id;
   self.name = MemberName();
@@ -99,7 +99,7 @@
   return self;
 }
 
-void MemberSide::Take(LogEffects&& effects) {
+void MemberService::Take(LogEffects&& effects) {
   MergeEffects(m_effects, std::move(effects));
   if (m_flush_due)
     return;
@@ -107,7 +107,7 @@
   m_flusher.Send(0);  // Everything that arrives until then shares one sync.
 }
 
-void MemberSide::SendTo(const wire::LogMessage& message) {
+void MemberService::SendTo(const wire::LogMessage& message) {
   const wire::MemberInfo* member = FindMember(m_node.m_membership, message.to_id);
   const auto learned = m_names.find(message.to_id);
   std::string name;
@@ -124,7 +124,7 @@
   peer->Notify(std::move(body));
 }
 
-void MemberSide::CountEntries(const wire::LogMessage& message) {
+void MemberService::CountEntries(const wire::LogMessage& message) {
   std::int64_t& until = m_sent_until[message.to_id];
   for (const wire::LogEntry& entry : message.body.append.entries) {
     m_log_bytes += EntrySizeBytes(entry);
@@ -134,7 +134,7 @@
   }
 }
 
-void MemberSide::Apply(const std::vector<wire::LogEntry>& entries) {
+void MemberService::Apply(const std::vector<wire::LogEntry>& entries) {
   const std::int64_t version_before = m_machine.m_configuration.m_version;
   const std::int64_t document_before = m_machine.m_hosted.m_document.version;
   const std::int64_t servers_before = m_machine.m_hosted.m_servers_index;
@@ -188,7 +188,7 @@
   AnswerPolls(ReadClock());
 }
 
-void MemberSide::FailPending(const std::string& why) {
+void MemberService::FailPending(const std::string& why) {
   std::map<std::int64_t, Slot> pending;
   pending.swap(m_pending);
   for (auto& [index, slot] : pending) {
@@ -199,7 +199,7 @@
   }
 }
 
-void MemberSide::Tick(Instant now) {
+void MemberService::Tick(Instant now) {
   RetryDisk(now);
   if (!m_disk_full)
     Lead(now);
@@ -207,16 +207,16 @@
   AnswerPolls(now);
 }
 
-void MemberSide::LogPartChange(const Part& before, Instant heard, Instant now) const {
+void MemberService::LogPartChange(const Part& before, Instant heard, Instant now) const {
   const std::int64_t silent_ms = (now - heard).count() / 1000;
   const bool led = before.m_role == Role::kLeader;
-  if (leads() && !led)
+  if (is_leader() && !led)
     POPPYWAY_LOG(info, "leading").Field("term", m_node.m_hard_state.term);
-  if (led && !leads())
+  if (led && !is_leader())
     POPPYWAY_LOG(info, "lead_lost")
         .Field("term", m_node.m_hard_state.term)
         .Field("led_ms", silent_ms);
-  if (!leads() && before.m_leader == 0 && m_node.m_leader != 0)
+  if (!is_leader() && before.m_leader == 0 && m_node.m_leader != 0)
     POPPYWAY_LOG(info, "following").Field("term", m_node.m_hard_state.term);
   if (!led && before.m_leader != 0 && m_node.m_leader == 0)
     POPPYWAY_LOG(info, "leader_lost")
@@ -224,14 +224,14 @@
         .Field("silent_ms", silent_ms);
 }
 
-void MemberSide::Lead(Instant now) {
+void MemberService::Lead(Instant now) {
   const Part before = CurrentPart();
   const Instant heard = m_node.m_last_leader_contact;
   Take(TickLog(m_node, now));
   LogPartChange(before, heard, now);
   if ((Blank() || LacksLeader(now)) && now >= m_hello_due)
     SayHello(now);
-  if (!leads()) {
+  if (!is_leader()) {
     m_table = {};
     m_places.OnLeadershipLost();
     if (!m_pending.empty())
@@ -240,18 +240,18 @@
   }
   if (m_table.m_leading_since == Instant{})
     // A hosted instance that falls silent may serve until its last confirmation lapses.
-    m_table = MakeInstanceTable(
-        std::chrono::milliseconds(std::max(m_settings.m_lease_ms, m_settings.m_confirm_ms)),
-        std::chrono::milliseconds(m_settings.m_lease_ms / 5), now);
+    m_table = MakeInstanceTable(std::chrono::milliseconds(std::max(
+                                    m_settings.m_lease_ms, m_settings.m_confirmation_ttl_ms)),
+                                std::chrono::milliseconds(m_settings.m_lease_ms / 5), now);
   ProposeDue(now);
   if (m_settings.m_hosted && m_places.epoch() != m_node.m_hard_state.term)
     m_places.OnLeadershipGained(m_node.m_hard_state.term, m_machine.m_hosted,
-                                std::chrono::milliseconds(m_settings.m_confirm_ms), now);
+                                std::chrono::milliseconds(m_settings.m_confirmation_ttl_ms), now);
   m_places.Tick(now);
   ProposeRollouts(now);
 }
 
-void MemberSide::ExpireProposals(Instant now) {
+void MemberService::ExpireProposals(Instant now) {
   std::vector<std::int64_t> expired;
   for (auto& [index, slot] : m_pending) {
     if (now < slot.m_proposal->m_expires)
@@ -265,7 +265,7 @@
     m_pending.erase(index);
 }
 
-void MemberSide::SayHello(Instant now) {
+void MemberService::SayHello(Instant now) {
   m_hello_due = now + kHelloInterval;
   const bool blank = Blank();
   for (auto& [name, peer] : m_peers) {
@@ -288,8 +288,8 @@
   TryForm(now);
 }
 
-void MemberSide::TryForm(Instant now) {
-  if (!m_settings.m_may_form || !Blank())
+void MemberService::TryForm(Instant now) {
+  if (!m_settings.m_may_bootstrap || !Blank())
     return;
   const std::optional<wire::Membership> membership = BootstrapMembership(m_bootstrap);
   if (!membership)
@@ -298,7 +298,7 @@
   Take(BootstrapLog(m_node, *membership, now));
 }
 
-void MemberSide::OnHello(const wire::Hello& hello, const ReplyFn& reply) {
+void MemberService::OnHello(const wire::Hello& hello, const ReplyFn& reply) {
   if (hello.cluster != m_settings.m_cluster) {
     reply(ErrorBody(ResultCode::kDataForeign, "this is cluster '" + m_settings.m_cluster + "'"));
     return;
@@ -307,7 +307,7 @@
   const bool stranger = FindMember(m_node.m_membership, hello.member.id) == nullptr;
   if (Blank())
     RecordHello(m_bootstrap, hello.member, hello.blank);
-  else if (leads() && (hello.blank || stranger))
+  else if (is_leader() && (hello.blank || stranger))
     m_joining[hello.member.name] = hello.member;
   wire::HelloReply answer;
   answer.member = Self();
@@ -320,7 +320,7 @@
 }
 
 /// What a leader proposes of itself: memberships, gone instances, broker leases.
-void MemberSide::ProposeDue(Instant now) {
+void MemberService::ProposeDue(Instant now) {
   if (m_machine.m_applied_index < m_proposing_until)
     return;
   LogEffects effects;
@@ -365,7 +365,7 @@
   Take(std::move(effects));
 }
 
-void MemberSide::OnLogMessage(const wire::LogMessage& message) {
+void MemberService::OnLogMessage(const wire::LogMessage& message) {
   if (m_disk_full)
     return;  // A member that can't write takes no part, as if it were slow.
   m_names[message.from_id] = message.from_name;
@@ -373,12 +373,12 @@
   const Instant heard = m_node.m_last_leader_contact;
   const Instant now = ReadClock();
   Take(StepLog(m_node, message, now));
-  if (leads() && before.m_role != Role::kLeader)
+  if (is_leader() && before.m_role != Role::kLeader)
     m_proposing_until = 0;
   LogPartChange(before, heard, now);
 }
 
-wire::Body MemberSide::NotLeader() const {
+wire::Body MemberService::NotLeader() const {
   wire::Body body = ErrorBody(ResultCode::kNotLeader, "this member is not the leader");
   const wire::MemberInfo* leader = FindMember(m_node.m_membership, m_node.m_leader);
   // One that has led and isn't sure any more is no help.
@@ -389,7 +389,7 @@
   return body;
 }
 
-void MemberSide::OnPropose(const wire::Propose& propose, const ReplyFn& reply) {
+void MemberService::OnPropose(const wire::Propose& propose, const ReplyFn& reply) {
   if (m_disk_full) {
     reply(ErrorBody(ResultCode::kDiskFull, "this member's disk has no room"));
     return;
@@ -412,9 +412,9 @@
   Take(std::move(effects));
 }
 
-void MemberSide::OnHeartbeat(const wire::Heartbeat& beat, const ReplyFn& reply) {
+void MemberService::OnHeartbeat(const wire::Heartbeat& beat, const ReplyFn& reply) {
   const Instant now = ReadClock();
-  const bool begun = leads() && m_table.m_leading_since != Instant{};
+  const bool begun = is_leader() && m_table.m_leading_since != Instant{};
   // It has been heard, whether or not it may be answered.
   if (begun)
     RecordHeartbeat(m_table, beat, now);
@@ -447,19 +447,19 @@
   reply(std::move(body));
 }
 
-void MemberSide::OnPlaces(const wire::PlaceBatch& batch, PeerConnection& from) {
+void MemberService::OnPlaces(const wire::PlaceBatch& batch, PeerConnection& from) {
   const Instant now = ReadClock();
   m_places.OnBatch(batch, from, Confirmed(now), now);
 }
 
-void MemberSide::OnPoll(const wire::ConfigPoll& poll, const ReplyFn& reply) {
+void MemberService::OnPoll(const wire::ConfigPoll& poll, const ReplyFn& reply) {
   const Instant now = ReadClock();
   const Duration wait = std::min<Duration>(std::chrono::milliseconds(poll.wait_ms), kMaxPollWait);
   m_polls.push_back({poll, reply, now + wait});
   AnswerPolls(now);
 }
 
-void MemberSide::AnswerPolls(Instant now) {
+void MemberService::AnswerPolls(Instant now) {
   std::map<std::int64_t, wire::Body> by_version;  // Readers of one version share one answer.
   std::vector<ParkedPoll> parked;
   parked.swap(m_polls);
--- a/apps/poppywayd/member_side.h
+++ b/apps/poppywayd/member_service.h
@@ -14,8 +14,8 @@
 #include "poppyway/state.h"
 #include "poppyway/telemetry.h"
 #include "poppyway/wire.h"
-#include "registry_bound.h"
-#include "rollout_side.h"
+#include "registration_limit.h"
+#include "rollout_controller.h"
 #include "slot_broker_service.h"
 
 namespace poppyway {
@@ -25,10 +25,10 @@
 
 /// \brief A member of the replicated log: drives `LogNode` with storage, peers and the state
 /// machine. Belongs to the control task.
-class MemberSide {
+class MemberService {
  public:
-  MemberSide(EventLoop& loop, const DaemonSettings& settings);
-  ~MemberSide();
+  MemberService(EventLoop& loop, const DaemonSettings& settings);
+  ~MemberService();
 
   /// Opens the data folder and replays it.
   [[nodiscard]] Result<void> Open();
@@ -78,13 +78,13 @@
       std::function<Result<std::map<std::string, SlowStartLimit>>(const wire::Document&)>;
   void SetColdLimitReader(ColdLimitReader reader);
 
-  [[nodiscard]] bool leads() const noexcept { return m_node.m_role == Role::kLeader; }
+  [[nodiscard]] bool is_leader() const noexcept { return m_node.m_role == Role::kLeader; }
   /// The error for a caller that should ask the leader.
   [[nodiscard]] wire::Body NotLeader() const;
   void AddMetrics(MetricSet& metrics) const;
   [[nodiscard]] SendQueueStats queue_stats() const;
   /// True while this member leads, or follows a leader that it has heard lately.
-  [[nodiscard]] bool Follows(Instant now) const;
+  [[nodiscard]] bool IsConnectedToQuorum(Instant now) const;
   /// To other members.
   [[nodiscard]] std::uint64_t bytes_sent() const;
 
@@ -209,10 +209,10 @@
   StateMachine m_machine;
   InstanceTable m_table;
   SlotBrokerService m_places;
-  RolloutSide m_rollouts;
+  RolloutController m_rollouts;
   ColdLimitReader m_cold_limit_reader;
   std::map<std::string, Instant> m_cold_until;  ///< By server, as each said last.
-  RegistryBound m_registry;
+  RegistrationLimit m_registry;
   std::map<std::string, std::unique_ptr<PeerClient>> m_peers;  ///< By member name.
   std::map<MemberId, std::string> m_names;                     ///< Learned from messages.
   ClusterBootstrap m_bootstrap;
--- a/apps/poppywayd/member_status.cc
+++ b/apps/poppywayd/member_status.cc
@@ -2,12 +2,12 @@
 // Part of poppyway, a request scheduler for unlike engines.
 // What a member tells operators: objects, status, metrics.
 
-#include "convert.h"
-#include "member_side.h"
+#include "broker_convert.h"
+#include "member_service.h"
 
 namespace poppyway {
 
-void MemberSide::OnObjects(const wire::ObjectsRequest& request, const ReplyFn& reply) {
+void MemberService::OnObjects(const wire::ObjectsRequest& request, const ReplyFn& reply) {
   if (!Confirmed(ReadClock())) {
     reply(NotLeader());
     return;
@@ -24,7 +24,7 @@
   reply(std::move(body));
 }
 
-wire::StatusReply MemberSide::Status() const {
+wire::StatusReply MemberService::Status() const {
   const Instant now = ReadClock();
   wire::StatusReply status;
   status.instance = m_settings.m_instance;
@@ -56,33 +56,33 @@
   return status;
 }
 
-bool MemberSide::Follows(Instant now) const {
-  if (leads())
+bool MemberService::IsConnectedToQuorum(Instant now) const {
+  if (is_leader())
     return LeadsWithQuorum(m_node, now);
   return m_node.m_leader != 0 &&
          now - m_node.m_last_leader_contact < m_node.m_timing.m_election_max;
 }
 
-std::uint64_t MemberSide::bytes_sent() const {
+std::uint64_t MemberService::bytes_sent() const {
   std::uint64_t bytes = 0;
   for (const auto& [name, peer] : m_peers)
     bytes += peer->bytes_sent();
   return bytes;
 }
 
-SendQueueStats MemberSide::queue_stats() const {
+SendQueueStats MemberService::queue_stats() const {
   SendQueueStats all;
   for (const auto& [name, peer] : m_peers)
     all = CombineQueueStats(all, peer->queue_stats());
   return all;
 }
 
-void MemberSide::AddMetrics(MetricSet& metrics) const {
+void MemberService::AddMetrics(MetricSet& metrics) const {
   metrics.Set("poppyway_log_term", "", static_cast<double>(m_node.m_hard_state.term));
   metrics.Set("poppyway_log_commit", "", static_cast<double>(m_node.m_commit_index));
-  metrics.Set("poppyway_log_leader", "", leads() ? 1 : 0);
+  metrics.Set("poppyway_log_leader", "", is_leader() ? 1 : 0);
   metrics.Set("poppyway_log_syncs", "", static_cast<double>(m_syncs));
-  metrics.Put("poppyway_log_sync_seconds", "", m_sync_times);
+  metrics.SetHistogram("poppyway_log_sync_seconds", "", m_sync_times);
   metrics.Set("poppyway_log_entries_synced", "", static_cast<double>(m_entries_synced));
   metrics.Set("poppyway_log_disk_full", "", m_disk_full ? 1 : 0);
   metrics.Set("poppyway_log_sent_bytes", "", static_cast<double>(m_log_bytes));
--- a/apps/poppywayd/registry_bound.cc
+++ b/apps/poppywayd/registration_limit.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-#include "registry_bound.h"
+#include "registration_limit.h"
 
 #include "poppyway/platform.h"
 
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-bool RegistryBound::Refuses(const HostedState& state, const wire::ServerRecord& record) {
+bool RegistrationLimit::Rejects(const HostedState& state, const wire::ServerRecord& record) {
   if (state.m_servers.size() < kMaxUnlistedPoolServers)
     return false;  // The document needn't be read.
   ReadNames(state.m_document);
@@ -29,7 +29,7 @@
   return true;
 }
 
-void RegistryBound::ReadNames(const wire::Document& document) {
+void RegistrationLimit::ReadNames(const wire::Document& document) {
   if (document.version == m_version)
     return;
   m_version = document.version;
@@ -45,7 +45,7 @@
     m_named.insert(pool.m_name);
 }
 
-void RegistryBound::AddMetrics(MetricSet& metrics) const {
+void RegistrationLimit::AddMetrics(MetricSet& metrics) const {
   metrics.Set("poppyway_servers_not_registered_total", "", static_cast<double>(m_refused));
 }
 
--- a/apps/poppywayd/registry_bound.h
+++ b/apps/poppywayd/registration_limit.h
@@ -12,10 +12,10 @@
 
 /// \brief Keeps servers of pools that the document doesn't name from filling the registry. Belongs
 /// to the leading member's task.
-class RegistryBound {
+class RegistrationLimit {
  public:
   /// True if the server can't be registered: see `ExceedsUnlistedPoolLimit`.
-  [[nodiscard]] bool Refuses(const HostedState& state, const wire::ServerRecord& record);
+  [[nodiscard]] bool Rejects(const HostedState& state, const wire::ServerRecord& record);
   void AddMetrics(MetricSet& metrics) const;
 
  private:
--- a/apps/poppywayd/rollout_side.cc
+++ b/apps/poppywayd/rollout_controller.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-#include "rollout_side.h"
+#include "rollout_controller.h"
 
 #include <algorithm>
 
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-void RolloutSide::OnApplied(const HostedState& state, Instant now) {
+void RolloutController::OnApplied(const HostedState& state, Instant now) {
   for (const auto& [pool, rollout] : state.m_rollouts) {
     Watch& watch = m_watches[pool];
     const Instant deadline = now + std::chrono::milliseconds(rollout.left_ms);
@@ -67,9 +67,9 @@
   }
 }
 
-std::vector<wire::RolloutStep> RolloutSide::DueSteps(const HostedState& state,
-                                                     const SlotBrokerService& places,
-                                                     Instant now) {
+std::vector<wire::RolloutStep> RolloutController::DueSteps(const HostedState& state,
+                                                           const SlotBrokerService& places,
+                                                           Instant now) {
   std::vector<wire::RolloutStep> steps;
   for (const auto& [pool, rollout] : state.m_rollouts) {
     const auto watch = m_watches.find(pool);
@@ -81,10 +81,10 @@
   return steps;
 }
 
-std::optional<wire::RolloutStep> RolloutSide::DueStep(const wire::Rollout& rollout,
-                                                      Watch& watch,
-                                                      const SlotBrokerService& places,
-                                                      Instant now) {
+std::optional<wire::RolloutStep> RolloutController::DueStep(const wire::Rollout& rollout,
+                                                            Watch& watch,
+                                                            const SlotBrokerService& places,
+                                                            Instant now) {
   const RolloutObservation sight = places.ObserveRollout(rollout.pool);
   const Duration left = watch.m_deadline - now;
   RolloutInputs view;
@@ -122,9 +122,9 @@
   return step;
 }
 
-bool RolloutSide::Repeats(const HostedState& state,
-                          const wire::RolloutOrder& order,
-                          Instant now) const {
+bool RolloutController::IsRetriedOrder(const HostedState& state,
+                                       const wire::RolloutOrder& order,
+                                       Instant now) const {
   const auto rollout = state.m_rollouts.find(order.pool);
   const auto watch = m_watches.find(order.pool);
   if (rollout == state.m_rollouts.end() || watch == m_watches.end())
--- a/apps/poppywayd/rollout_side.h
+++ b/apps/poppywayd/rollout_controller.h
@@ -18,9 +18,9 @@
 ///
 /// All that a decision rests on beyond the log is evidence at the broker, which a new leader has
 /// to gather anew; how many requests the target version may get is in the log before it gets them.
-class RolloutSide {
+class RolloutController {
  public:
-  explicit RolloutSide(const ExposureBounds& bounds) : m_bounds(bounds) {}
+  explicit RolloutController(const ExposureBounds& bounds) : m_bounds(bounds) {}
 
   /// Entries were applied, or a snapshot was loaded. A member that follows keeps time too, so that
   /// a new leader knows the deadline.
@@ -33,9 +33,9 @@
 
   /// True if `order` is that of the pool's last roll-out, which was ordered a short while ago: the
   /// operator got no answer and sends it again. It begins nothing, also where that one has ended.
-  [[nodiscard]] bool Repeats(const HostedState& state,
-                             const wire::RolloutOrder& order,
-                             Instant now) const;
+  [[nodiscard]] bool IsRetriedOrder(const HostedState& state,
+                                    const wire::RolloutOrder& order,
+                                    Instant now) const;
 
  private:
   /// One roll-out as this member has seen it.
--- a/packages/forward/include/poppyway/forward/impl/forwarding.h
+++ b/packages/forward/include/poppyway/forward/impl/forwarding.h
@@ -53,7 +53,7 @@
 struct Forwarding {
   ForwardingRef m_ref = 0;
   ForwardingStage m_stage = ForwardingStage::kNew;
-  CallerSide m_caller;
+  ResponseWriter m_caller;
 
   // What the caller sent.
   std::string m_method;
--- a/packages/forward/src/finish.cc
+++ b/packages/forward/src/finish.cc
@@ -21,7 +21,7 @@
   Forwarding* forwarding = Find(*self->m_state, self->m_ref);
   if (forwarding == nullptr)
     return;
-  ProceedAnswer(forwarding->m_caller);
+  ContinueResponse(forwarding->m_caller);
   if (forwarding->m_call)
     forwarding->m_call->Resume();
 }
@@ -34,7 +34,7 @@
     req->http1_is_persistent = 0;
   forwarding.m_status = req->res.status;
   forwarding.m_first_sent = ReadClock();
-  BeginAnswer(forwarding.m_caller, generator->m_base);
+  BeginResponse(forwarding.m_caller, generator->m_base);
 }
 
 std::string SecondsText(Duration duration) {
@@ -98,7 +98,7 @@
 
 void Refuse(ForwarderState& state, Forwarding& forwarding, ResultCode code, std::string_view why) {
   const ResultInfo& info = ResultInfoOf(code);
-  CallerSide& caller = forwarding.m_caller;
+  ResponseWriter& caller = forwarding.m_caller;
   if (caller.m_req != nullptr && !caller.m_started) {
     h2o_req_t* req = caller.m_req;
     const int status = info.m_http_status == 0 ? kCallerGoneStatus : info.m_http_status;
@@ -112,7 +112,7 @@
     Begin(state, forwarding);
     SendChunk(caller, body, true);
   } else if (caller.m_req != nullptr) {
-    AbortAnswer(caller);
+    AbortResponse(caller);
   }
   Close(state, forwarding, code, why);
 }
--- a/packages/forward/src/forwarder.cc
+++ b/packages/forward/src/forwarder.cc
@@ -58,7 +58,7 @@
   }
   if (requests.empty())
     return;
-  const std::vector<bool> left = CallersLeft(requests);
+  const std::vector<bool> left = CallersDisconnected(requests);
   for (std::size_t i = 0; i < refs.size(); ++i) {
     Forwarding* forwarding = left[i] ? Find(state, refs[i]) : nullptr;
     if (forwarding == nullptr)
@@ -229,7 +229,7 @@
 
 void Forwarder::OnReadiness(h2o_req_t* req) {
   const bool ready = IsReady(m_state, ReadClock());
-  ReplyWhole(req, ready ? 200 : 503, "text/plain", ready ? "ready\n" : "not ready\n");
+  SendResponse(req, ready ? 200 : 503, "text/plain", ready ? "ready\n" : "not ready\n");
 }
 
 void Forwarder::OnMetrics(h2o_req_t* req) {
@@ -241,7 +241,7 @@
   MetricSet more;
   if (m_extra_metrics)
     m_extra_metrics(more);
-  ReplyWhole(req, 200, "text/plain; version=0.0.4", m_state.m_metrics.Text() + more.Text());
+  SendResponse(req, 200, "text/plain; version=0.0.4", m_state.m_metrics.Text() + more.Text());
 }
 
 bool Forwarder::Tick() {
--- a/packages/forward/src/relay.cc
+++ b/packages/forward/src/relay.cc
@@ -259,7 +259,7 @@
   if (!forwarding->m_caller.m_started)
     StartAnswer(state, *forwarding, forwarding->m_buffered.size());
   if (state.m_stopping)
-    CloseAfterAnswer(forwarding->m_caller);
+    CloseAfterResponse(forwarding->m_caller);
   const std::string body = std::move(forwarding->m_buffered);
   SendChunk(forwarding->m_caller, body, true);
   Close(state, *forwarding, ResultCode::kOk, "");
--- a/packages/gateway/include/poppyway/gateway/impl/control_messages.h
+++ b/packages/gateway/include/poppyway/gateway/impl/control_messages.h
@@ -35,32 +35,32 @@
 };
 
 /// \brief All requests of this gateway have ended after `BeginShutdown`.
-struct Drained {};
+struct GatewayDrained {};
 
-using GatewayMessage = std::variant<ClaimKey, FinishKey, SendDemand, Drained>;
+using GatewayMessage = std::variant<ClaimKey, FinishKey, SendDemand, GatewayDrained>;
 
 // ---- From the control task to the gateway ----------------------------------------------------
 
 /// \brief A newer configuration is in force.
-struct NewCatalogue {
+struct CatalogueUpdate {
   std::shared_ptr<const Catalogue> m_catalogue;
 };
 
 /// \brief The ledger's answer to a `ClaimKey`.
-struct ClaimAnswer {
+struct ClaimReply {
   RequestRef m_ref = 0;
   wire::ClaimResult m_result;
 };
 
 /// \brief Grants of the broker of `m_pool`; credits may be spent until `m_lease_end`.
-struct TakeGrants {
+struct GrantsReceived {
   std::string m_pool;
   GrantBatch m_batch;
   Instant m_lease_end{};
 };
 
 /// \brief The connection to the broker of `m_pool` is new: tell it all that is held.
-struct BrokerChanged {
+struct BrokerReconnected {
   std::string m_pool;
 };
 
@@ -70,7 +70,7 @@
 };
 
 /// \brief Whether the configuration is fresh enough for the balancer to send callers.
-struct SetFresh {
+struct ConfigFreshness {
   bool m_fresh = false;
 };
 
@@ -82,12 +82,12 @@
   std::string m_text;
 };
 
-using ControlMessage = std::variant<NewCatalogue,
-                                    ClaimAnswer,
-                                    TakeGrants,
-                                    BrokerChanged,
+using ControlMessage = std::variant<CatalogueUpdate,
+                                    ClaimReply,
+                                    GrantsReceived,
+                                    BrokerReconnected,
                                     LeavingServers,
-                                    SetFresh,
+                                    ConfigFreshness,
                                     BeginShutdown,
                                     ControlMetrics>;
 
--- a/packages/gateway/include/poppyway/gateway/impl/exchange.h
+++ b/packages/gateway/include/poppyway/gateway/impl/exchange.h
@@ -41,7 +41,7 @@
   RequestRef m_ref = 0;
   std::string m_id;  ///< Unique over all instances; sent to the back end and to the caller.
   Stage m_stage = Stage::kNew;
-  CallerSide m_caller;
+  ResponseWriter m_caller;
 
   // What the caller sent.
   std::string m_method;
--- a/packages/gateway/include/poppyway/gateway/impl/upstream.h
+++ b/packages/gateway/include/poppyway/gateway/impl/upstream.h
@@ -63,7 +63,7 @@
   Upstream& operator=(const Upstream&) = delete;
 
   /// No event is reported any more; the object may then be destroyed outside its own callbacks.
-  void Silence() noexcept { m_silent = true; }
+  void SuppressEvents() noexcept { m_silent = true; }
   /// Stops reading from the back end until `Resume`, for a slow caller.
   void Pause();
   void Resume();
--- a/packages/gateway/src/account.cc
+++ b/packages/gateway/src/account.cc
@@ -130,7 +130,7 @@
 void Retire(GatewayState& state, Exchange& exchange) {
   if (!exchange.m_upstream)
     return;
-  exchange.m_upstream->Silence();
+  exchange.m_upstream->SuppressEvents();
   state.m_retired.push_back(std::move(exchange.m_upstream));
 }
 
--- a/packages/gateway/src/answer.cc
+++ b/packages/gateway/src/answer.cc
@@ -30,7 +30,7 @@
   AddField(req, "poppyway-request-id", exchange.m_id);
   if (state.m_stopping)
     req->http1_is_persistent = 0;
-  BeginAnswer(exchange.m_caller, generator->m_base);
+  BeginResponse(exchange.m_caller, generator->m_base);
 }
 
 std::string ProblemJson(const Exchange& exchange,
@@ -68,7 +68,7 @@
   const RequestRef ref = exchange.m_ref;
   const ResultInfo& info = ResultInfoOf(code);
   if (exchange.m_caller.m_req != nullptr && exchange.m_caller.m_started) {
-    AbortAnswer(exchange.m_caller);
+    AbortResponse(exchange.m_caller);
   } else if (exchange.m_caller.m_req != nullptr) {
     h2o_req_t* req = exchange.m_caller.m_req;
     AddField(req, "poppyway-code", std::to_string(static_cast<int>(code)));
@@ -126,7 +126,7 @@
 }
 
 void OnCallerReady(GatewayState& /*state*/, Exchange& exchange) {
-  ProceedAnswer(exchange.m_caller);
+  ContinueResponse(exchange.m_caller);
   if (exchange.m_upstream)
     exchange.m_upstream->Resume();
 }
--- a/packages/gateway/src/filters.h
+++ b/packages/gateway/src/filters.h
@@ -67,7 +67,7 @@
 /// Sends the broker of `name` what is due.
 void FlushDemand(GatewayState& state, const std::string& name, PoolClient& pool, Instant now);
 /// Spends what grants allow.
-void OnGrants(GatewayState& state, const TakeGrants& grants);
+void OnGrants(GatewayState& state, const GrantsReceived& grants);
 /// Refuses what can't be reached any more, dispatches by fair share without a broker.
 void TickPool(GatewayState& state, const std::string& name, PoolClient& pool, Instant now);
 
--- a/packages/gateway/src/gateway.cc
+++ b/packages/gateway/src/gateway.cc
@@ -46,20 +46,20 @@
 bool AnswerOwnPath(GatewayState& state, h2o_req_t* req) {
   const std::string_view path(req->path_normalized.base, req->path_normalized.len);
   if (path == "/health/live") {
-    ReplyWhole(req, 200, kPlainText, "live\n");
+    SendResponse(req, 200, kPlainText, "live\n");
   } else if (path == "/health/ready") {
     const bool ready = IsReady(state);
-    ReplyWhole(req, ready ? 200 : 503, kPlainText, ready ? "ready\n" : "not ready\n");
+    SendResponse(req, ready ? 200 : 503, kPlainText, ready ? "ready\n" : "not ready\n");
   } else if (path == "/metrics") {
     state.m_metrics.Set("poppyway_exchanges", "", static_cast<double>(state.m_exchanges.size()));
-    ReplyWhole(req, 200, kPlainText, state.m_metrics.Text() + state.m_control_metrics);
+    SendResponse(req, 200, kPlainText, state.m_metrics.Text() + state.m_control_metrics);
   } else {
     return false;
   }
   return true;
 }
 
-void OnClaimAnswer(GatewayState& state, const ClaimAnswer& answer) {
+void OnClaimAnswer(GatewayState& state, const ClaimReply& answer) {
   const auto found = state.m_exchanges.find(answer.m_ref);
   const bool waiting =
       found != state.m_exchanges.end() && found->second->m_stage == Stage::kClaiming;
@@ -102,7 +102,7 @@
   for (const auto& [ref, exchange] : state.m_exchanges) {
     const bool open = exchange->m_stage != Stage::kDone && exchange->m_caller.m_req != nullptr &&
                       !exchange->m_caller.m_started;
-    if (open && CallerLeft(exchange->m_caller.m_req))
+    if (open && CallerDisconnected(exchange->m_caller.m_req))
       left.push_back(ref);
   }
   for (const RequestRef ref : left) {
@@ -143,7 +143,7 @@
   if (!over || state.m_drained_told)
     return;
   state.m_drained_told = true;
-  state.m_to_control(Drained{});
+  state.m_to_control(GatewayDrained{});
 }
 
 void Tick(GatewayState& state) {
@@ -163,7 +163,7 @@
 struct Visitor {
   GatewayState& m_state;
 
-  void operator()(NewCatalogue& message) const {
+  void operator()(CatalogueUpdate& message) const {
     const bool newer =
         !m_state.m_catalogue || message.m_catalogue->m_version > m_state.m_catalogue->m_version;
     if (!newer)
@@ -173,9 +173,9 @@
     for (const PoolDeclaration& pool : m_state.m_catalogue->m_pools)
       m_state.m_pools.try_emplace(pool.m_name);
   }
-  void operator()(const ClaimAnswer& message) const { OnClaimAnswer(m_state, message); }
-  void operator()(const TakeGrants& message) const { impl::OnGrants(m_state, message); }
-  void operator()(const BrokerChanged& message) const {
+  void operator()(const ClaimReply& message) const { OnClaimAnswer(m_state, message); }
+  void operator()(const GrantsReceived& message) const { impl::OnGrants(m_state, message); }
+  void operator()(const BrokerReconnected& message) const {
     PoolClient& pool = m_state.m_pools[message.m_pool];
     pool.m_resync = true;
     pool.m_dirty = true;
@@ -184,7 +184,7 @@
     m_state.m_leaving = std::move(message.m_servers);
     m_state.m_eligible.clear();
   }
-  void operator()(const SetFresh& message) const { m_state.m_fresh = message.m_fresh; }
+  void operator()(const ConfigFreshness& message) const { m_state.m_fresh = message.m_fresh; }
   void operator()(const BeginShutdown&) const {
     if (m_state.m_stopping)
       return;
--- a/packages/gateway/src/pools.cc
+++ b/packages/gateway/src/pools.cc
@@ -90,7 +90,7 @@
     state.m_to_control(SendDemand{name, std::move(*demand)});
 }
 
-void OnGrants(GatewayState& state, const TakeGrants& grants) {
+void OnGrants(GatewayState& state, const GrantsReceived& grants) {
   Perform(state, HandleGrants(state.m_pools[grants.m_pool], grants.m_batch, grants.m_lease_end,
                               ReadClock()));
 }
--- a/packages/gateway/src/relay.cc
+++ b/packages/gateway/src/relay.cc
@@ -64,7 +64,7 @@
 bool OnMaySend(GatewayState& state, RequestRef ref) {
   Exchange* exchange = Find(state, ref);
   if (exchange == nullptr || exchange->m_stage != Stage::kConnecting ||
-      CallerLeft(exchange->m_caller.m_req))
+      CallerDisconnected(exchange->m_caller.m_req))
     return false;
   exchange->m_stage = Stage::kSent;
   exchange->m_dispatched = ReadClock();
@@ -137,7 +137,7 @@
   }
   Retire(state, *exchange);
   PoolClient& pool = PoolOf(state, *exchange);
-  const bool caller_left = CallerLeft(exchange->m_caller.m_req);
+  const bool caller_left = CallerDisconnected(exchange->m_caller.m_req);
   EndDispatch(pool, exchange->m_credit, caller_left ? UseStage::kReturned : UseStage::kFailed,
               Duration(0), ReadClock());
   exchange->m_stage = Stage::kWaiting;
--- a/packages/http/include/poppyway/http.h
+++ b/packages/http/include/poppyway/http.h
@@ -9,5 +9,5 @@
 /// \detail All of it belongs to the loop's thread. The process has to ignore SIGPIPE: callers close
 /// connections while they are written to.
 
-#include "poppyway/http/impl/caller_side.h"
 #include "poppyway/http/impl/http_server.h"
+#include "poppyway/http/impl/response_writer.h"
--- a/packages/http/include/poppyway/http/impl/http_server.h
+++ b/packages/http/include/poppyway/http/impl/http_server.h
@@ -66,6 +66,6 @@
 [[nodiscard]] const char* ReasonPhrase(int status) noexcept;
 
 /// \brief Sends a whole answer at once. Call once for a request.
-void ReplyWhole(h2o_req_t* req, int status, std::string_view type, std::string_view body);
+void SendResponse(h2o_req_t* req, int status, std::string_view type, std::string_view body);
 
 }  // namespace poppyway
--- a/packages/http/include/poppyway/http/impl/caller_side.h
+++ b/packages/http/include/poppyway/http/impl/response_writer.h
@@ -13,7 +13,7 @@
 
 /// \brief The caller's side of a request: the library's object, null once the caller is gone, and
 /// the answer's bytes that it has not taken yet.
-struct CallerSide {
+struct ResponseWriter {
   h2o_req_t* m_req = nullptr;
   bool m_started = false;   ///< The answer's head was handed over.
   bool m_inflight = false;  ///< The library holds `m_sending` until it asks to proceed.
@@ -25,23 +25,23 @@
 };
 
 /// \brief Hands the answer's head over. Status and fields of `m_req->res` are set before.
-void BeginAnswer(CallerSide& caller, h2o_generator_t& generator);
+void BeginResponse(ResponseWriter& caller, h2o_generator_t& generator);
 /// \brief Adds bytes to the answer; `last` ends it.
-void SendChunk(CallerSide& caller, std::string_view bytes, bool last);
+void SendChunk(ResponseWriter& caller, std::string_view bytes, bool last);
 /// \brief Lets the library close an HTTP/1 connection once the answer under way is sent, also where
 /// the answer's head promised to keep it. Call before the last chunk.
-void CloseAfterAnswer(CallerSide& caller);
+void CloseAfterResponse(ResponseWriter& caller);
 /// \brief Cuts an answer that can't be completed, so that the caller sees it is not whole.
-void AbortAnswer(CallerSide& caller);
+void AbortResponse(ResponseWriter& caller);
 /// \brief The library can take more: sends what is pending.
-void ProceedAnswer(CallerSide& caller);
+void ContinueResponse(ResponseWriter& caller);
 
 /// \brief True if the caller of an HTTP/1 request has closed its connection. The library doesn't
 /// read a connection while its request is pending, so the socket has to be asked.
-[[nodiscard]] bool CallerLeft(const h2o_req_t* req);
+[[nodiscard]] bool CallerDisconnected(const h2o_req_t* req);
 
 /// \brief The same for many at once, in one system call. HTTP/1 only.
 /// \return for each request whether its caller has left.
-[[nodiscard]] std::vector<bool> CallersLeft(std::span<h2o_req_t* const> requests);
+[[nodiscard]] std::vector<bool> CallersDisconnected(std::span<h2o_req_t* const> requests);
 
 }  // namespace poppyway
--- a/packages/http/src/http_server.cc
+++ b/packages/http/src/http_server.cc
@@ -121,7 +121,7 @@
   }
 }
 
-void ReplyWhole(h2o_req_t* req, int status, std::string_view type, std::string_view body) {
+void SendResponse(h2o_req_t* req, int status, std::string_view type, std::string_view body) {
   req->res.status = status;
   req->res.reason = ReasonPhrase(status);
   req->res.content_length = body.size();
--- a/packages/http/src/caller_side.cc
+++ b/packages/http/src/response_writer.cc
@@ -14,7 +14,7 @@
   return h2o_socket_get_fd(req->conn->callbacks->get_socket(req->conn));
 }
 
-void Push(CallerSide& caller, bool last) {
+void Push(ResponseWriter& caller, bool last) {
   caller.m_sending.swap(caller.m_pending);
   caller.m_pending.clear();
   caller.m_inflight = true;
@@ -26,7 +26,7 @@
 
 /// Ends the connection without the answer's end. The library would send bytes of its own to mark
 /// the break, which are no part of the protocol; a connection that is shut down carries none.
-void Cut(CallerSide& caller) {
+void Cut(ResponseWriter& caller) {
   const bool http2 = caller.m_req->version >= 0x200;
   if (!http2)
     shutdown(DescriptorOf(caller.m_req), SHUT_RDWR);
@@ -37,12 +37,12 @@
 
 }  // namespace
 
-void BeginAnswer(CallerSide& caller, h2o_generator_t& generator) {
+void BeginResponse(ResponseWriter& caller, h2o_generator_t& generator) {
   caller.m_started = true;
   h2o_start_response(caller.m_req, &generator);
 }
 
-void SendChunk(CallerSide& caller, std::string_view bytes, bool last) {
+void SendChunk(ResponseWriter& caller, std::string_view bytes, bool last) {
   if (caller.m_req == nullptr)
     return;
   caller.m_pending += bytes;
@@ -51,21 +51,21 @@
     Push(caller, last);
 }
 
-void CloseAfterAnswer(CallerSide& caller) {
+void CloseAfterResponse(ResponseWriter& caller) {
   if (caller.m_req != nullptr)
     caller.m_req->http1_is_persistent = 0;
 }
 
-void AbortAnswer(CallerSide& caller) {
+void AbortResponse(ResponseWriter& caller) {
   if (caller.m_req == nullptr || caller.m_ended)
     return;
   caller.m_ended = true;
   caller.m_aborted = true;
   if (!caller.m_inflight)
-    Cut(caller);  // Else it follows in ProceedAnswer.
+    Cut(caller);  // Else it follows in ContinueResponse.
 }
 
-void ProceedAnswer(CallerSide& caller) {
+void ContinueResponse(ResponseWriter& caller) {
   caller.m_inflight = false;
   if (caller.m_req == nullptr || caller.m_final)
     return;
@@ -76,7 +76,7 @@
     Cut(caller);
 }
 
-bool CallerLeft(const h2o_req_t* req) {
+bool CallerDisconnected(const h2o_req_t* req) {
   if (req == nullptr)
     return true;
   const bool http2 = req->version >= 0x200;
@@ -86,7 +86,7 @@
   return poll(&watched, 1, 0) == 1 && (watched.revents & kLeftEvents) != 0;
 }
 
-std::vector<bool> CallersLeft(std::span<h2o_req_t* const> requests) {
+std::vector<bool> CallersDisconnected(std::span<h2o_req_t* const> requests) {
   std::vector<pollfd> watched;
   watched.reserve(requests.size());
   for (const h2o_req_t* req : requests)
--- a/packages/policy/src/slot_internal.h
+++ b/packages/policy/src/slot_internal.h
@@ -71,12 +71,12 @@
 
 // ---- slot_rollout.cc --------------------------------------------------------------------------
 /// \brief Which servers of a pool do its ordinary work.
-enum class WorkingSide : std::uint8_t { kAll, kTarget, kOthers };
+enum class ServingGroup : std::uint8_t { kAll, kTarget, kOthers };
 /// \brief The target version while work moves to it; the others while it is on trial or found bad;
 /// all where no roll-out is under way or that side has no server.
-[[nodiscard]] WorkingSide SideAtWork(const SlotPool& pool);
+[[nodiscard]] ServingGroup ServingGroupOf(const SlotPool& pool);
 /// \brief True if server `i` is not of that side.
-[[nodiscard]] bool KeptFromWork(const SlotPool& pool, WorkingSide side, std::size_t i);
+[[nodiscard]] bool KeptFromWork(const SlotPool& pool, ServingGroup side, std::size_t i);
 /// \brief The trial server for a request, if the trial wants it and one has room.
 /// Precondition: `SetViews` was called for the request.
 [[nodiscard]] std::optional<std::size_t> ChooseTrialServer(const OutageDetector& outages,
--- a/packages/policy/src/slot_outage.cc
+++ b/packages/policy/src/slot_outage.cc
@@ -67,7 +67,7 @@
                                              Instant now) {
   if (broker.m_outages.m_suspect_count == 0 || shape.m_left < kLeastLeft)
     return std::nullopt;
-  const WorkingSide side = SideAtWork(pool);
+  const ServingGroup side = ServingGroupOf(pool);
   for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
     const BackendServer& server = pool.m_servers[i];
     if (!MayProbe(broker.m_outages, server.m_data_centre, server.m_id, now))
--- a/packages/policy/src/slot_rollout.cc
+++ b/packages/policy/src/slot_rollout.cc
@@ -60,17 +60,17 @@
   }
 }
 
-WorkingSide SideAtWork(const SlotPool& pool) {
+ServingGroup ServingGroupOf(const SlotPool& pool) {
   if (!pool.m_trial)
-    return WorkingSide::kAll;
+    return ServingGroup::kAll;
   const bool target = pool.m_trial->m_moving && !IsBad(pool.m_trial->m_finding);
   if (!AnyOnSide(pool, target))
-    return WorkingSide::kAll;
-  return target ? WorkingSide::kTarget : WorkingSide::kOthers;
+    return ServingGroup::kAll;
+  return target ? ServingGroup::kTarget : ServingGroup::kOthers;
 }
 
-bool KeptFromWork(const SlotPool& pool, WorkingSide side, std::size_t i) {
-  return side != WorkingSide::kAll && IsTarget(pool, i) != (side == WorkingSide::kTarget);
+bool KeptFromWork(const SlotPool& pool, ServingGroup side, std::size_t i) {
+  return side != ServingGroup::kAll && IsTarget(pool, i) != (side == ServingGroup::kTarget);
 }
 
 std::optional<std::size_t> ChooseTrialServer(const OutageDetector& outages,
--- a/packages/policy/src/slot_serve.cc
+++ b/packages/policy/src/slot_serve.cc
@@ -51,7 +51,7 @@
 void UseSuspects(const OutageDetector& outages,
                  SlotPool& pool,
                  const QueuedSlotRequest& waiting,
-                 WorkingSide side,
+                 ServingGroup side,
                  bool lost,
                  Instant now) {
   std::vector<std::size_t> suspects;
@@ -89,7 +89,7 @@
 
 void SetViews(SlotBroker& broker, SlotPool& pool, const QueuedSlotRequest& waiting, Instant now) {
   const double told = ToldShare(broker, now);
-  const WorkingSide side = SideAtWork(pool);
+  const ServingGroup side = ServingGroupOf(pool);
   const RoundTrips trips = TripsOf(broker, waiting.m_request);
   std::size_t usable = 0;
   for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
@@ -249,7 +249,7 @@
                  Instant now,
                  std::vector<SlotResponse>& out) {
   const double told = ToldShare(broker, now);
-  if (KeptFromWork(pool, SideAtWork(pool), i))
+  if (KeptFromWork(pool, ServingGroupOf(pool), i))
     return;  // A trial takes new requests, and what waits at the next look at all servers.
   Tier most_urgent = kTiers;
   std::size_t depth = 0;
--- a/packages/policy/src/slot_wait.cc
+++ b/packages/policy/src/slot_wait.cc
@@ -37,7 +37,7 @@
                                    Instant now) {
   if (now >= pool.m_back_off_until)
     return std::nullopt;
-  const WorkingSide side = SideAtWork(pool);
+  const ServingGroup side = ServingGroupOf(pool);
   const auto bar_of = [&](std::size_t i) {
     return CheckServerEligibility(broker.m_outages, pool, i, waiting, KeptFromWork(pool, side, i),
                                   now);
--- a/packages/settings/include/poppyway/settings/impl/daemon_settings.h
+++ b/packages/settings/include/poppyway/settings/impl/daemon_settings.h
@@ -61,10 +61,11 @@
   double m_exposure_share = 0.1;  ///< Of a pool's requests, for a version under trial.
   double m_exposure_slack = 50;   ///< Requests beyond that share.
   RegionMap m_regions;            ///< Of all data centres.
-  bool m_member = false;          ///< Hosted: this instance keeps the log.
-  bool m_may_form = true;         ///< A blank member may form the first cluster.
+  bool m_is_member = false;       ///< Hosted: this instance keeps the log.
+  bool m_may_bootstrap = true;    ///< A blank member may form the first cluster.
   bool m_log_to_stdout = false;
-  std::int64_t m_confirm_ms = 0;  ///< How long a confirmed document may be acted on; 0: for ever.
+  std::int64_t m_confirmation_ttl_ms =
+      0;  ///< How long a confirmed document may be acted on; 0: for ever.
 
   friend bool operator==(const DaemonSettings&, const DaemonSettings&) = default;
 };
--- a/packages/settings/src/daemon_settings.cc
+++ b/packages/settings/src/daemon_settings.cc
@@ -123,7 +123,7 @@
 
 bool IsMember(const DaemonSettings& settings) {
   if (settings.m_hosted)
-    return settings.m_member;
+    return settings.m_is_member;
   return std::any_of(
       settings.m_members.begin(), settings.m_members.end(),
       [&settings](const MemberSettings& m) { return m.m_name == settings.m_instance; });
--- a/packages/telemetry/include/poppyway/telemetry/impl/metric_set.h
+++ b/packages/telemetry/include/poppyway/telemetry/impl/metric_set.h
@@ -40,7 +40,9 @@
   void Set(std::string_view name, std::string_view labels, double value);
   void Record(std::string_view name, std::string_view labels, Duration value);
   /// \brief Takes a histogram that is kept elsewhere.
-  void Put(std::string_view name, std::string_view labels, const DurationHistogram& histogram);
+  void SetHistogram(std::string_view name,
+                    std::string_view labels,
+                    const DurationHistogram& histogram);
   [[nodiscard]] std::uint64_t Counter(std::string_view name, std::string_view labels = "") const;
   [[nodiscard]] std::string Text() const;
 
--- a/packages/telemetry/src/metric_set.cc
+++ b/packages/telemetry/src/metric_set.cc
@@ -75,9 +75,9 @@
   m_histograms[Key(name, labels)].Record(value);
 }
 
-void MetricSet::Put(std::string_view name,
-                    std::string_view labels,
-                    const DurationHistogram& histogram) {
+void MetricSet::SetHistogram(std::string_view name,
+                             std::string_view labels,
+                             const DurationHistogram& histogram) {
   m_histograms[Key(name, labels)] = histogram;
 }
 
