--- a/packages/log/include/poppyway/log/impl/log_node.h
+++ b/packages/log/include/poppyway/log/impl/log_node.h
@@ -16,32 +16,35 @@
 
 namespace poppyway {
 
-/// \brief Names a member for the life of its data folder; random, never zero.
+/// \brief Identifies a member as long as its data folder exists; random, never zero.
 using MemberId = std::int64_t;
 
-/// \brief Timing of the log.
+/// \brief Timeouts and intervals of the log.
 struct LogTiming {
-  Duration m_election_min{300'000};
-  Duration m_election_max{600'000};
-  Duration m_heartbeat{50'000};
-  /// A voter this long silent may be replaced; well above a restart, which takes below a second.
-  Duration m_gone_after{5'000'000};
+  Duration m_election_min{300'000};  ///< The shortest election timeout.
+  Duration m_election_max{600'000};  ///< The longest election timeout.
+  Duration m_heartbeat{50'000};      ///< The interval between appends of an idle leader.
+  /// A voter that has not replied for this long may be removed. The timeout is well above the time
+  /// of a restart, which is less than a second.
+  Duration m_removal_timeout{5'000'000};
 };
 
-/// \brief A member's part in its term.
+/// \brief A member's Raft role in its term.
 enum class Role : std::uint8_t { kFollower, kPreCandidate, kCandidate, kLeader };
 
-/// \brief What a leader knows of another member.
+/// \brief The replication progress of another member, as its leader knows it.
 struct Progress {
-  std::int64_t m_next = 1;
-  std::int64_t m_match = 0;
-  Instant m_heard{};
-  Instant m_snapshot_sent{};
-  Instant m_confirmed{};  ///< When the newest append that it has answered was sent.
-  Instant m_resent{};     ///< When entries that it lacked were last sent again.
+  std::int64_t m_next = 1;   ///< Raft's nextIndex: the next entry to send.
+  std::int64_t m_match = 0;  ///< Raft's matchIndex: the last entry that it has acknowledged.
+  /// When its last append reply arrived; at first, when the leader began to track it.
+  Instant m_last_reply{};
+  Instant m_last_snapshot{};   ///< When a snapshot was last sent; zero: never.
+  Instant m_last_confirmed{};  ///< When the newest append that it has replied to was sent.
+  Instant m_last_resend{};     ///< When the leader last sent entries again after a rejection.
 };
 
-/// \brief One member's state. Plain data; the functions below are its behaviour.
+/// \brief The state of one member as plain data. The functions below operate on it; they are not
+/// thread-safe.
 struct LogNode {
   LogTiming m_timing;
   MemberId m_id = 0;
@@ -49,130 +52,150 @@
   std::string m_cluster;
   std::mt19937_64 m_random;
 
-  // Durable.
+  // The durable state, as it will be once all effects are saved.
   wire::HardState m_hard_state;
   std::int64_t m_snapshot_index = 0;
   std::int64_t m_snapshot_term = 0;
   wire::Membership m_snapshot_membership;
   std::shared_ptr<const std::string> m_snapshot_state;
-  std::deque<wire::LogEntry> m_entries;  ///< Those after the snapshot.
+  std::deque<wire::LogEntry> m_entries;  ///< The entries after the snapshot.
 
-  // What of that is durable.
-  std::int64_t m_saved = 0;  ///< Last index up to which the log is durable as it stands.
-  wire::HardState m_saved_hard;
+  // The part of that state which is durable already.
+  std::int64_t m_durable_index = 0;  ///< The last index up to which the current log is durable.
+  wire::HardState m_durable_hard;
   bool m_save_in_progress = false;
-  std::int64_t m_saving = 0;  ///< What `m_saved` will be once the save under way has ended.
+  std::int64_t m_saving_index = 0;  ///< The value of `m_durable_index` after the current save.
   wire::HardState m_saving_hard;
 
-  // Volatile.
-  wire::Membership m_membership;  ///< The latest in the log, committed or not.
+  // The volatile state.
+  wire::Membership m_membership;  ///< The latest membership in the log, committed or not.
   std::int64_t m_membership_index = 0;
   std::int64_t m_commit_index = 0;
-  std::int64_t m_handed_out = 0;  ///< Last index given to the caller to apply.
+  std::int64_t m_emitted_index = 0;  ///< The last index emitted to the caller to apply.
   Role m_role = Role::kFollower;
   MemberId m_leader = 0;
-  Instant m_last_leader_contact{};
-  Instant m_election_due{};
+  Instant m_last_leader_contact{};  ///< On a leader: when it became leader.
+  Instant m_election_due{};         ///< When the election timeout expires; zero: not set yet.
   Instant m_heartbeat_due{};
-  std::int64_t m_term_start = 0;  ///< Index of a leader's first entry of its term.
+  std::int64_t m_term_start = 0;  ///< On a leader: the index of the first entry of its term.
   std::set<MemberId> m_votes;
   std::map<MemberId, Progress> m_progress;
 };
 
-/// \brief What the caller has to do: make durable, send what `IsSafeToSend` allows, apply.
+/// \brief The actions that the caller has to perform: save the changes, send the messages that
+/// `IsSafeToSend` allows, apply the committed entries.
 struct LogEffects {
   bool m_save_hard = false;
-  std::optional<std::int64_t> m_truncate_after;  ///< Drop stored entries after this index first.
+  std::optional<std::int64_t> m_truncate_after;  ///< Drops stored entries after this index first.
   std::vector<wire::LogEntry> m_append;
   std::optional<wire::Snapshot> m_install;  ///< Replaces storage and the state machine.
   std::vector<wire::LogMessage> m_send;
-  std::vector<wire::LogEntry> m_committed;  ///< To apply, in order, after `m_install`.
+  std::vector<wire::LogEntry> m_committed;  ///< The entries to apply, in order, after `m_install`.
 
+  /// Returns true if some effect has to be made durable.
   [[nodiscard]] bool NeedsSync() const {
     return m_save_hard || m_truncate_after || !m_append.empty() || m_install;
   }
 };
 
-/// \brief Advances timers: elections, heartbeats, check-quorum.
+/// \brief Runs what is due at `now`: elections, heartbeats and check-quorum.
 [[nodiscard]] LogEffects TickLog(LogNode& node, Instant now);
 
-/// \brief Takes a message of another member. One for another id or cluster has no effect.
+/// \brief Handles a message from another member. A message for another id or cluster is ignored.
 [[nodiscard]] LogEffects StepLog(LogNode& node, const wire::LogMessage& message, Instant now);
 
-/// \brief Appends commands on the leader. \return the first index, or `kNotLeader`.
+/// \brief Appends commands to the leader's log and sends them to the other members.
+/// \return the index of the first command, or `kNotLeader`.
 [[nodiscard]] Result<std::int64_t> ProposeLog(LogNode& node,
                                               const std::vector<wire::Command>& commands,
                                               LogEffects& effects,
                                               Instant now);
 
-/// \brief Proposes a membership that differs in at most one voter.
-/// \return its index, or why not: `kNotLeader`, or `kVersionConflict` while a change is under way.
+/// \brief Proposes a membership. Precondition: it differs from the current one in at most one
+/// voter.
+/// \return the index of its entry; `kNotLeader`; or `kVersionConflict` while another change is not
+/// committed yet, or before this leader has committed an entry of its term.
 [[nodiscard]] Result<std::int64_t> ProposeMembership(LogNode& node,
                                                      const wire::Membership& membership,
                                                      LogEffects& effects,
                                                      Instant now);
 
-/// \brief Notes that all effects up to now are being made durable. Precondition: no other save is
-/// under way.
+/// \brief Records that a save of all effects up to now has begun. Precondition: no other save is in
+/// progress.
 void BeginLogSave(LogNode& node);
 
-/// \brief Notes that what `BeginLogSave` was called for is durable: a leader counts its own log for
-/// commitment only from then on.
+/// \brief Records that the save which `BeginLogSave` began has succeeded. A leader counts its own
+/// log towards a majority only up to the last index that was saved.
+/// \return the entries that this commits.
 [[nodiscard]] LogEffects FinishLogSave(LogNode& node);
 
-/// \brief Notes that what `BeginLogSave` was called for was refused and is not durable.
+/// \brief Records that the save which `BeginLogSave` began has failed: nothing of it is durable.
 void AbortLogSave(LogNode& node);
 
-/// \brief True if a message tells nothing that rests on what isn't durable here yet. One that must
-/// wait is asked about again after the next save.
+/// \brief Returns true if a message depends on no state that is not durable yet. The caller defers
+/// any other message and checks it again after the next save.
 [[nodiscard]] bool IsSafeToSend(const LogNode& node, const wire::LogMessage& message);
 
-/// \brief Keeps a message that must wait. It takes the place of a waiting answer to the same member
-/// that says no more, so that what waits stays bounded however long a save takes.
-void DeferMessage(std::vector<wire::LogMessage>& held, wire::LogMessage message);
+/// \brief Adds a message to the list of deferred ones. It replaces a deferred append reply to the
+/// same member in the same term that acknowledges no more entries, so that the list stays bounded
+/// however long a save takes.
+void DeferMessage(std::vector<wire::LogMessage>& deferred, wire::LogMessage message);
 
-/// \brief The part of a node that a save writes, for use while the node goes on. Entries are needed
-/// only where a segment begins anew.
+/// \brief Copies the part of a node that a save writes, so that the node can continue during the
+/// save. The entries are needed only if the save starts a new segment.
 [[nodiscard]] LogNode CopyDurableState(const LogNode& node, bool with_entries);
 
-/// \brief Replaces entries up to `index` by `state`. Precondition: `index` was handed out.
+/// \brief Replaces the entries up to `index` by a snapshot that holds `state`.
+/// Precondition: `index` has been emitted as committed.
+/// \return the snapshot, which the caller stores.
 [[nodiscard]] wire::Snapshot CompactLog(LogNode& node, std::int64_t index, std::string state);
 
-/// \brief Begins the first term of a new cluster on the member that forms it.
+/// \brief Starts the first term of a new cluster on the member that forms it. The election is due
+/// at once.
 [[nodiscard]] LogEffects BootstrapLog(LogNode& node,
                                       const wire::Membership& membership,
                                       Instant now);
 
-/// \brief Adds one effect after another.
+/// \brief Appends the effects `more` to `into`.
 void MergeEffects(LogEffects& into, LogEffects&& more);
 
+/// \brief Returns the index of the last entry, or of the snapshot if no entry follows it.
 [[nodiscard]] std::int64_t LastIndex(const LogNode& node) noexcept;
-/// \brief Term of the entry at `index`, or -1 if it is not held.
+/// \brief Returns the term of the entry at `index`, or -1 if the log does not hold that entry.
 [[nodiscard]] std::int64_t TermAt(const LogNode& node, std::int64_t index) noexcept;
 [[nodiscard]] bool IsVoter(const wire::Membership& membership, MemberId id) noexcept;
+/// \brief Returns the member with this id, or nullptr.
 [[nodiscard]] const wire::MemberInfo* FindMember(const wire::Membership& membership, MemberId id);
-/// \brief About how many bytes an entry takes on a link: exact for what can be large.
+/// \brief Estimates the bytes of an entry in a message. Fields that can be large count exactly.
 [[nodiscard]] std::size_t EntrySizeBytes(const wire::LogEntry& entry) noexcept;
-/// \brief True while a majority of voters answered within the last election timeout.
+/// \brief Returns true on a leader to which a majority of voters, itself included, has replied
+/// within the shortest election timeout.
 [[nodiscard]] bool LeadsWithQuorum(const LogNode& node, Instant now);
-/// \brief True on a leader whose state, with entries up to `applied` in it, holds all that leaders
-/// before it committed. A new leader learns what that is by committing the first entry of its term.
+/// \brief Returns true on a leader whose state, with entries up to `applied` in it, holds every
+/// entry that earlier leaders committed. A new leader knows these once it has committed the first
+/// entry of its term.
 [[nodiscard]] bool HoldsAllCommitted(const LogNode& node, std::int64_t applied) noexcept;
-/// \brief True if reads of a leader's state, with entries up to `applied` in it, miss nothing that
-/// was acknowledged: it holds all that is committed, and a majority of voters is known to have
-/// followed this leader within the last shortest election timeout, counted from when the append was
-/// sent. Until then no other leader can have committed anything, however long replies were on their
-/// way.
+/// \brief Returns true if a read of the leader's state, with entries up to `applied` in it, sees
+/// every acknowledged entry.
+///
+/// The state has to hold all committed entries, and a majority of voters must have replied to
+/// appends that this leader sent within the shortest election timeout. The time counts from when
+/// the append was sent, so a delayed reply can't hide that another leader has committed entries
+/// since.
 [[nodiscard]] bool CanServeLinearizableReads(const LogNode& node,
                                              std::int64_t applied,
                                              Instant now);
-/// \brief A voter that has been silent for longest and may be removed: another member is ready to
-/// take its place, or the count of voters is even, so that its removal costs no tolerance.
+/// \brief Returns the voter that has not replied for the longest time, if it may be removed: it has
+/// exceeded the removal timeout, there are more than three voters, and either a caught-up non-voter
+/// can replace it or the number of voters is even, so that its removal costs no fault tolerance.
 [[nodiscard]] std::optional<MemberId> RemovableVoter(const LogNode& node, Instant now);
 
-/// \brief A membership change for the leader to propose now, if one is due: a member whose folder
-/// was lost is replaced by its new id as a non-voter; a voter that is gone is removed; a caught-up
-/// non-voter becomes a voter. `joining_members` are those that asked to join.
+/// \brief Returns the membership change that a leader should propose now, if one is due.
+///
+/// A joining member is added as a non-voter and replaces a member of the same name, which has lost
+/// its folder; a voter that `RemovableVoter` returns is removed; a caught-up non-voter becomes a
+/// voter.
+/// \param joining_members the members that requested to join.
 [[nodiscard]] std::optional<wire::Membership> PlanMembershipChange(
     const LogNode& node,
     const std::vector<wire::MemberInfo>& joining_members,
--- a/packages/log/include/poppyway/log/impl/log_store.h
+++ b/packages/log/include/poppyway/log/impl/log_store.h
@@ -12,39 +12,43 @@
 
 namespace poppyway {
 
-/// \brief What a data folder held when it was opened.
+/// \brief The contents of a data folder when it was opened.
 struct StoredLog {
   MemberId m_id = 0;
-  bool m_newly_created = true;  ///< The folder was new: its id was made just now.
+  bool m_newly_created = true;  ///< The folder had no identity yet, so `m_id` is a new one.
   wire::HardState m_hard_state;
   std::optional<wire::Snapshot> m_snapshot;
   std::vector<wire::LogEntry> m_entries;
-  std::size_t m_torn_bytes = 0;  ///< Cut from the end: a write that never finished.
+  std::size_t m_torn_bytes = 0;  ///< Bytes of an interrupted write, cut from the end.
 };
 
-/// \brief Puts a node into the state that its folder holds. Precondition: a fresh node with its
-/// id, name, cluster and seed.
+/// \brief Restores a node's state, with its id, from the contents of its folder. Precondition: the
+/// node is new, with its name, cluster and random seed set.
 void RestoreLog(LogNode& node, const StoredLog& stored);
 
-/// \brief The file operations of a store; tests give faulty ones. Each returns false on failure.
+/// \brief The file operations of a store, which tests replace to inject faults. Each returns false
+/// on failure.
 struct FileOps {
   std::function<bool(int fd, std::string_view bytes)> m_write;
   std::function<bool(int fd)> m_sync;
 };
 
-/// \brief The operating system's own operations.
+/// \brief Returns the operations of the operating system.
 [[nodiscard]] FileOps SystemFileOps();
 
-/// \brief One member's durable log in one folder: identity, segments of checksummed records,
-/// snapshots. Belongs to one task; blocks while it syncs.
+/// \brief The durable log of one member in one folder: the identity, segments of checksummed
+/// records, and snapshots. It is not thread-safe: only one task uses it. Its functions block during
+/// a sync.
 class LogStore {
  public:
-  /// Opens or creates the folder.
-  /// \return `kDataForeign`, `kDataNewer`, `kDataDamaged` or `kDiskFailed` with the file and
-  /// offset.
+  /// Opens or creates the folder and reads it into `stored`.
+  /// \param new_id the member's id if the folder has no identity yet.
+  /// \return the store; `kDataForeign`, `kDataNewer` or `kDataDamaged` with the file, and the
+  /// offset of a damaged record; `kDiskFailed`; or `kDiskFull` if the first segment can't be
+  /// written.
   [[nodiscard]] static Result<std::unique_ptr<LogStore>> Open(const std::string& folder,
                                                               const std::string& cluster,
-                                                              MemberId fresh_id,
+                                                              MemberId new_id,
                                                               StoredLog& stored,
                                                               FileOps ops = SystemFileOps());
   ~LogStore();
@@ -52,26 +56,28 @@
   LogStore& operator=(const LogStore&) = delete;
 
   /// Makes the effects durable with one sync.
-  /// \return `kDiskFull` if there was no room: nothing of it is kept, and the same effects may be
-  /// saved again later. After `kDiskFailed` the store takes nothing more.
+  /// \return `kDiskFull` if a write failed: none of the effects is kept, and the caller may save
+  /// the same effects again later. After `kDiskFailed` every further save fails.
   [[nodiscard]] Result<void> Save(const LogNode& node, const LogEffects& effects);
-  /// Stores a snapshot, begins a new segment with what follows it, and drops the old files.
+  /// Stores a snapshot, starts a new segment with the entries after it, and removes the old files.
+  /// \return the same errors as `Save`.
   [[nodiscard]] Result<void> SaveSnapshot(const LogNode& node, const wire::Snapshot& snapshot);
 
  private:
   LogStore(std::string folder, FileOps ops);
   [[nodiscard]] Result<void> BeginSegment(const LogNode& node);
-  /// Cuts off what a refused write may have left. \return false if it can't be cut now.
-  [[nodiscard]] bool CutTorn();
-  [[nodiscard]] Result<void> Full(const std::string& what) const;
-  [[nodiscard]] Result<void> Broken(const std::string& what);
+  /// Truncates the incomplete record that a failed write may have left.
+  /// \return false if the truncation fails; it is then retried before the next write.
+  [[nodiscard]] bool TruncateTornTail();
+  [[nodiscard]] Result<void> DiskFullError(const std::string& what) const;
+  [[nodiscard]] Result<void> MarkFailed(const std::string& what);
 
   std::string m_folder;
   FileOps m_ops;
   int m_segment = -1;
   std::int64_t m_segment_number = 0;
-  std::int64_t m_segment_bytes = 0;  ///< Known to be whole records.
-  bool m_torn = false;               ///< Part of a refused write may follow them.
+  std::int64_t m_segment_bytes = 0;  ///< The length of the complete records.
+  bool m_has_torn_tail = false;      ///< Part of a failed write may follow these records.
   bool m_failed = false;
 };
 
--- a/packages/log/src/cluster_bootstrap.cc
+++ b/packages/log/src/cluster_bootstrap.cc
@@ -6,27 +6,27 @@
 
 namespace poppyway {
 
-void RecordHello(ClusterBootstrap& formation, const wire::MemberInfo& member, bool blank) {
+void RecordHello(ClusterBootstrap& bootstrap, const wire::MemberInfo& member, bool blank) {
   if (!blank) {
-    formation.m_cluster_exists = true;
-    formation.m_blank.erase(member.name);
+    bootstrap.m_cluster_exists = true;
+    bootstrap.m_blank_members.erase(member.name);
     return;
   }
-  formation.m_blank[member.name] = member;
+  bootstrap.m_blank_members[member.name] = member;
 }
 
-std::optional<wire::Membership> BootstrapMembership(const ClusterBootstrap& formation) {
-  if (formation.m_cluster_exists)
+std::optional<wire::Membership> BootstrapMembership(const ClusterBootstrap& bootstrap) {
+  if (bootstrap.m_cluster_exists)
     return std::nullopt;
-  const std::string& lowest = *std::min_element(formation.m_names.begin(), formation.m_names.end());
-  if (formation.m_self.name != lowest)
+  const std::string& lowest = *std::min_element(bootstrap.m_names.begin(), bootstrap.m_names.end());
+  if (bootstrap.m_self.name != lowest)
     return std::nullopt;
   wire::Membership membership;
-  for (const std::string& name : formation.m_names) {
-    const auto found = formation.m_blank.find(name);
-    if (name == formation.m_self.name)
-      membership.members.push_back(formation.m_self);
-    else if (found != formation.m_blank.end())
+  for (const std::string& name : bootstrap.m_names) {
+    const auto found = bootstrap.m_blank_members.find(name);
+    if (name == bootstrap.m_self.name)
+      membership.members.push_back(bootstrap.m_self);
+    else if (found != bootstrap.m_blank_members.end())
       membership.members.push_back(found->second);
     else
       return std::nullopt;
--- a/packages/log/src/durability.cc
+++ b/packages/log/src/durability.cc
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What of a member's log is durable, and what may be told of it before.
+// Tracks which part of a member's log is durable, and which messages may be sent before a save
+// ends.
 #include <algorithm>
 
 #include "log_internal.h"
@@ -8,13 +9,14 @@
 namespace poppyway {
 namespace {
 
-/// An answer that promises entries up to a match.
-bool PromisesEntries(const wire::LogMessage& message) {
+/// Returns true for an append reply that acknowledges entries.
+bool AcknowledgesEntries(const wire::LogMessage& message) {
   return message.body.__isset.append_reply && message.body.append_reply.ok;
 }
 
-bool SaysNoMore(const wire::LogMessage& before, const wire::LogMessage& now) {
-  return PromisesEntries(before) && PromisesEntries(now) && before.to_id == now.to_id &&
+/// Returns true if the append reply `now` acknowledges at least as much as the reply `before`.
+bool IsSupersededBy(const wire::LogMessage& before, const wire::LogMessage& now) {
+  return AcknowledgesEntries(before) && AcknowledgesEntries(now) && before.to_id == now.to_id &&
          before.body.append_reply.term == now.body.append_reply.term &&
          before.body.append_reply.match <= now.body.append_reply.match;
 }
@@ -23,14 +25,14 @@
 
 void BeginLogSave(LogNode& node) {
   node.m_save_in_progress = true;
-  node.m_saving = LastIndex(node);
+  node.m_saving_index = LastIndex(node);
   node.m_saving_hard = node.m_hard_state;
 }
 
 LogEffects FinishLogSave(LogNode& node) {
   node.m_save_in_progress = false;
-  node.m_saved = node.m_saving;
-  node.m_saved_hard = node.m_saving_hard;
+  node.m_durable_index = node.m_saving_index;
+  node.m_durable_hard = node.m_saving_hard;
   LogEffects effects;
   if (node.m_role == Role::kLeader)
     impl::AdvanceCommit(node, effects);
@@ -43,27 +45,28 @@
 
 bool IsSafeToSend(const LogNode& node, const wire::LogMessage& message) {
   const wire::LogBody& body = message.body;
-  // A vote, one's own or another's, must not be forgotten: it could be given twice in its term.
+  // A vote, for this member or for another, must be durable first: after a crash the member could
+  // otherwise vote twice in one term.
   const bool vote = (body.__isset.vote && !body.vote.pre) ||
                     (body.__isset.vote_reply && body.vote_reply.granted && !body.vote_reply.pre);
-  // A leader may tell entries that it hasn't saved, since it doesn't count itself for them; that it
-  // leads rests on its own vote.
+  // A leader may send entries that it hasn't saved, since it doesn't count itself towards their
+  // majority. Its leadership depends on its own vote, which must be durable.
   const bool leads = body.__isset.append || body.__isset.snapshot;
   if (vote || leads)
-    return node.m_saved_hard == node.m_hard_state;
-  if (PromisesEntries(message))
-    return body.append_reply.match <= node.m_saved;
+    return node.m_durable_hard == node.m_hard_state;
+  if (AcknowledgesEntries(message))
+    return body.append_reply.match <= node.m_durable_index;
   return true;
 }
 
-void DeferMessage(std::vector<wire::LogMessage>& held, wire::LogMessage message) {
-  const auto same = std::find_if(held.begin(), held.end(), [&](const wire::LogMessage& before) {
-    return SaysNoMore(before, message);
-  });
-  if (same != held.end())
+void DeferMessage(std::vector<wire::LogMessage>& deferred, wire::LogMessage message) {
+  const auto same =
+      std::find_if(deferred.begin(), deferred.end(),
+                   [&](const wire::LogMessage& before) { return IsSupersededBy(before, message); });
+  if (same != deferred.end())
     *same = std::move(message);
   else
-    held.push_back(std::move(message));
+    deferred.push_back(std::move(message));
 }
 
 LogNode CopyDurableState(const LogNode& node, bool with_entries) {
@@ -77,9 +80,9 @@
 
 namespace impl {
 
-void ForgetSavedAfter(LogNode& node, std::int64_t index) {
-  node.m_saved = std::min(node.m_saved, index);
-  node.m_saving = std::min(node.m_saving, index);
+void LowerDurableIndex(LogNode& node, std::int64_t index) {
+  node.m_durable_index = std::min(node.m_durable_index, index);
+  node.m_saving_index = std::min(node.m_saving_index, index);
 }
 
 }  // namespace impl
--- a/packages/log/src/election.cc
+++ b/packages/log/src/election.cc
@@ -5,14 +5,17 @@
 namespace poppyway::impl {
 namespace {
 
-bool UpToDate(const LogNode& node, const wire::VoteRequest& request) {
+/// Returns true if the candidate's log is at least as up-to-date as the node's own.
+bool IsLogUpToDate(const LogNode& node, const wire::VoteRequest& request) {
   const std::int64_t last_term = TermAt(node, LastIndex(node));
   if (request.last_term != last_term)
     return request.last_term > last_term;
   return request.last_index >= LastIndex(node);
 }
 
-bool HeardLeader(const LogNode& node, Instant now) {
+/// Returns true on a leader with a quorum, and on a member whose leader was active within the
+/// shortest election timeout.
+bool HasActiveLeader(const LogNode& node, Instant now) {
   if (node.m_role == Role::kLeader)
     return LeadsWithQuorum(node, now);
   return node.m_leader != 0 && now - node.m_last_leader_contact < node.m_timing.m_election_min;
@@ -24,7 +27,7 @@
   node.m_role = pre ? Role::kPreCandidate : Role::kCandidate;
   node.m_leader = 0;
   node.m_votes = {node.m_id};
-  ResetElection(node, now);
+  ResetElectionTimeout(node, now);
   if (!pre) {
     ++node.m_hard_state.term;
     node.m_hard_state.vote = node.m_id;
@@ -58,11 +61,12 @@
   wire::VoteReply reply;
   reply.pre = request.pre;
   reply.granted = false;
-  // A member that still hears its leader lets nobody disturb it, nor raise its term.
-  const bool disturbed = HeardLeader(node, now);
-  if (!request.pre && request.term > node.m_hard_state.term && !disturbed)
+  // A member with an active leader rejects vote requests and doesn't adopt their term, so that a
+  // returning member can't disrupt the cluster.
+  const bool has_leader = HasActiveLeader(node, now);
+  if (!request.pre && request.term > node.m_hard_state.term && !has_leader)
     BecomeFollower(node, request.term, 0, effects, now);
-  if (!disturbed && UpToDate(node, request)) {
+  if (!has_leader && IsLogUpToDate(node, request)) {
     if (request.pre) {
       reply.granted = request.term > node.m_hard_state.term;
     } else if (request.term == node.m_hard_state.term &&
@@ -70,7 +74,7 @@
       reply.granted = true;
       node.m_hard_state.vote = from;
       effects.m_save_hard = true;
-      ResetElection(node, now);
+      ResetElectionTimeout(node, now);
     }
   }
   reply.term = request.pre && reply.granted ? request.term : node.m_hard_state.term;
--- a/packages/log/src/log_internal.h
+++ b/packages/log/src/log_internal.h
@@ -6,27 +6,42 @@
 
 namespace poppyway::impl {
 
-/// \brief True if a member holds nearly all of the log and answers now.
-[[nodiscard]] bool CaughtUp(const LogNode& node, MemberId id, Instant now);
+/// \brief Returns true if a member has acknowledged nearly the whole log, including the first entry
+/// of the leader's term, and has replied within the longest election timeout.
+[[nodiscard]] bool IsCaughtUp(const LogNode& node, MemberId id, Instant now);
+/// \brief Returns the number of voters that form a majority.
 [[nodiscard]] std::size_t Majority(const wire::Membership& membership);
+/// \brief Appends entries to the node's own log and to the entries to save.
 void AppendLocal(LogNode& node, std::vector<wire::LogEntry> entries, LogEffects& effects);
-void AdoptMembership(LogNode& node);
+/// \brief Puts the latest membership of the log in force, committed or not.
+void UseLatestMembership(LogNode& node);
+/// \brief Follows `leader` (zero: unknown) in `term`, or in the current term if that is higher.
 void BecomeFollower(LogNode& node,
                     std::int64_t term,
                     MemberId leader,
                     LogEffects& effects,
                     Instant now);
+/// \brief Starts leading the current term with a no-op entry.
 void BecomeLeader(LogNode& node, LogEffects& effects, Instant now);
-void ResetElection(LogNode& node, Instant now);
+/// \brief Restarts the election timeout with a new random length.
+void ResetElectionTimeout(LogNode& node, Instant now);
+/// \brief Commits, on a leader, the highest index of its term that a majority of voters has stored.
 void AdvanceCommit(LogNode& node, LogEffects& effects);
-void HandOut(LogNode& node, LogEffects& effects);
-/// \brief What is durable after `index` will be cut off or replaced.
-void ForgetSavedAfter(LogNode& node, std::int64_t index);
+/// \brief Emits the committed entries that the caller has not received yet.
+void EmitCommitted(LogNode& node, LogEffects& effects);
+/// \brief Records that the stored entries after `index` will be truncated or replaced, so they no
+/// longer count as durable.
+void LowerDurableIndex(LogNode& node, std::int64_t index);
+/// \brief Sends a member the next entries, or the snapshot if the log no longer holds them.
 void SendAppend(LogNode& node, MemberId to, LogEffects& effects, Instant now);
+/// \brief Sends an append to every other member and schedules the next heartbeat.
 void SendAppends(LogNode& node, LogEffects& effects, Instant now);
+/// \brief Returns a message from this node to member `to`, without a body.
 [[nodiscard]] wire::LogMessage Message(const LogNode& node, MemberId to);
 
 // ---- election.cc -----------------------------------------------------------------------------
+/// \brief Starts a pre-vote (`pre`) or an election, and wins it at once if the node's own vote is a
+/// majority.
 void Campaign(LogNode& node, bool pre, LogEffects& effects, Instant now);
 void OnVoteRequest(LogNode& node,
                    MemberId from,
--- a/packages/log/src/log_node.cc
+++ b/packages/log/src/log_node.cc
@@ -21,7 +21,7 @@
 }
 
 std::size_t EntrySizeBytes(const wire::LogEntry& entry) noexcept {
-  constexpr std::size_t kSmallCommand = 128;
+  constexpr std::size_t kSmallCommand = 128;  // Estimates the fields that are always small.
   const wire::Command& command = entry.command;
   std::size_t bytes = kSmallCommand;
   if (command.__isset.document)
@@ -51,12 +51,13 @@
 bool LeadsWithQuorum(const LogNode& node, Instant now) {
   if (node.m_role != Role::kLeader)
     return false;
-  std::size_t heard = IsVoter(node.m_membership, node.m_id) ? 1 : 0;
+  std::size_t active = IsVoter(node.m_membership, node.m_id) ? 1 : 0;
   for (const auto& [id, progress] : node.m_progress) {
-    if (IsVoter(node.m_membership, id) && now - progress.m_heard < node.m_timing.m_election_min)
-      ++heard;
+    if (IsVoter(node.m_membership, id) &&
+        now - progress.m_last_reply < node.m_timing.m_election_min)
+      ++active;
   }
-  return heard >= Majority(node.m_membership);
+  return active >= Majority(node.m_membership);
 }
 
 bool HoldsAllCommitted(const LogNode& node, std::int64_t applied) noexcept {
@@ -68,7 +69,7 @@
     return false;
   std::size_t confirmed = IsVoter(node.m_membership, node.m_id) ? 1 : 0;
   for (const auto& [id, progress] : node.m_progress) {
-    const bool recent = now - progress.m_confirmed < node.m_timing.m_election_min;
+    const bool recent = now - progress.m_last_confirmed < node.m_timing.m_election_min;
     if (IsVoter(node.m_membership, id) && recent)
       ++confirmed;
   }
@@ -82,30 +83,30 @@
   const bool successor =
       std::any_of(node.m_membership.members.begin(), node.m_membership.members.end(),
                   [&node, now](const wire::MemberInfo& member) {
-                    return !member.voter && CaughtUp(node, member.id, now);
+                    return !member.voter && IsCaughtUp(node, member.id, now);
                   });
-  constexpr std::int64_t kFewestVoters = 3;
+  constexpr std::int64_t kFewestVoters = 3;  // Two voters would tolerate no failure.
   if (voters <= kFewestVoters || (!successor && voters % 2 != 0))
     return std::nullopt;
-  std::optional<MemberId> silent;
-  Instant oldest = now - node.m_timing.m_gone_after;
+  std::optional<MemberId> removable;
+  Instant oldest = now - node.m_timing.m_removal_timeout;
   for (const wire::MemberInfo& member : node.m_membership.members) {
     const auto progress = node.m_progress.find(member.id);
-    const bool ours = member.id == node.m_id;
-    if (ours || !member.voter || progress == node.m_progress.end())
+    const bool is_self = member.id == node.m_id;
+    if (is_self || !member.voter || progress == node.m_progress.end())
       continue;
-    if (progress->second.m_heard >= oldest)
+    if (progress->second.m_last_reply >= oldest)
       continue;
-    oldest = progress->second.m_heard;
-    silent = member.id;
+    oldest = progress->second.m_last_reply;
+    removable = member.id;
   }
-  return silent;
+  return removable;
 }
 
 void MergeEffects(LogEffects& into, LogEffects&& more) {
   into.m_save_hard = into.m_save_hard || more.m_save_hard;
   if (more.m_truncate_after) {
-    // What was appended before and is cut again never reaches storage.
+    // Entries that were appended and truncated again before a save are never stored.
     std::erase_if(into.m_append, [&](const wire::LogEntry& entry) {
       return entry.index > *more.m_truncate_after;
     });
@@ -128,7 +129,7 @@
 LogEffects TickLog(LogNode& node, Instant now) {
   LogEffects effects;
   if (node.m_election_due == Instant{})
-    ResetElection(node, now);
+    ResetElectionTimeout(node, now);
   if (node.m_role == Role::kLeader) {
     const bool settled = now - node.m_last_leader_contact > node.m_timing.m_election_max;
     if (settled && !LeadsWithQuorum(node, now)) {
@@ -139,9 +140,10 @@
       SendAppends(node, effects, now);
     return effects;
   }
-  // Votes are asked for once its own is durable: the time to get them begins then.
-  if (node.m_role == Role::kCandidate && node.m_saved_hard != node.m_hard_state)
-    ResetElection(node, now);
+  // A candidate's vote requests are sent only once its own vote is durable, so the election timeout
+  // restarts until then.
+  if (node.m_role == Role::kCandidate && node.m_durable_hard != node.m_hard_state)
+    ResetElectionTimeout(node, now);
   if (now >= node.m_election_due && IsVoter(node.m_membership, node.m_id))
     Campaign(node, true, effects, now);
   return effects;
@@ -194,7 +196,7 @@
   const bool settled =
       node.m_membership_index <= node.m_commit_index && node.m_commit_index >= node.m_term_start;
   if (!settled)
-    return Fail(ResultCode::kVersionConflict, "a membership change is under way");
+    return Fail(ResultCode::kVersionConflict, "another membership change is in progress");
   wire::Command command;
   command.__set_membership(membership);
   return ProposeLog(node, {command}, effects, now);
@@ -229,10 +231,10 @@
   }
   node.m_entries.assign(stored.m_entries.begin(), stored.m_entries.end());
   node.m_commit_index = node.m_snapshot_index;
-  node.m_handed_out = node.m_snapshot_index;
-  AdoptMembership(node);
-  node.m_saved = LastIndex(node);
-  node.m_saved_hard = node.m_hard_state;
+  node.m_emitted_index = node.m_snapshot_index;
+  UseLatestMembership(node);
+  node.m_durable_index = LastIndex(node);
+  node.m_durable_hard = node.m_hard_state;
 }
 
 LogEffects BootstrapLog(LogNode& node, const wire::Membership& membership, Instant now) {
@@ -265,12 +267,13 @@
     next.members.back().voter = false;
     return next;
   }
-  if (const std::optional<MemberId> gone = RemovableVoter(node, now)) {
-    std::erase_if(next.members, [&gone](const wire::MemberInfo& m) { return m.id == *gone; });
+  if (const std::optional<MemberId> removable = RemovableVoter(node, now)) {
+    std::erase_if(next.members,
+                  [&removable](const wire::MemberInfo& m) { return m.id == *removable; });
     return next;
   }
   for (wire::MemberInfo& member : next.members) {
-    if (member.voter || !CaughtUp(node, member.id, now))
+    if (member.voter || !IsCaughtUp(node, member.id, now))
       continue;
     member.voter = true;
     return next;
@@ -280,12 +283,13 @@
 
 namespace impl {
 
-bool CaughtUp(const LogNode& node, MemberId id, Instant now) {
-  constexpr std::int64_t kCaughtUp = 16;  // Entries; appends are pipelined, so never quite zero.
+bool IsCaughtUp(const LogNode& node, MemberId id, Instant now) {
+  // The most entries that a member may lag. Appends are pipelined, so the lag is never quite zero.
+  constexpr std::int64_t kMaxLag = 16;
   const auto progress = node.m_progress.find(id);
   return progress != node.m_progress.end() &&
-         now - progress->second.m_heard < node.m_timing.m_election_max &&
-         progress->second.m_match + kCaughtUp >= LastIndex(node) &&
+         now - progress->second.m_last_reply < node.m_timing.m_election_max &&
+         progress->second.m_match + kMaxLag >= LastIndex(node) &&
          progress->second.m_match >= node.m_term_start;
 }
 
@@ -304,14 +308,13 @@
   return message;
 }
 
-void ResetElection(LogNode& node, Instant now) {
+void ResetElectionTimeout(LogNode& node, Instant now) {
   std::uniform_int_distribution<std::int64_t> spread(node.m_timing.m_election_min.count(),
                                                      node.m_timing.m_election_max.count());
   node.m_election_due = now + Duration(spread(node.m_random));
 }
 
-/// The membership in force is the latest in the log, committed or not.
-void AdoptMembership(LogNode& node) {
+void UseLatestMembership(LogNode& node) {
   node.m_membership = node.m_snapshot_membership;
   node.m_membership_index = node.m_snapshot_index;
   for (auto it = node.m_entries.rbegin(); it != node.m_entries.rend(); ++it) {
@@ -331,7 +334,7 @@
     effects.m_append.push_back(std::move(entry));
   }
   if (membership)
-    AdoptMembership(node);
+    UseLatestMembership(node);
 }
 
 void BecomeFollower(LogNode& node,
@@ -348,13 +351,13 @@
   node.m_role = Role::kFollower;
   node.m_leader = leader;
   if (!was_follower)
-    ResetElection(node, now);
+    ResetElectionTimeout(node, now);
 }
 
 void BecomeLeader(LogNode& node, LogEffects& effects, Instant now) {
   node.m_role = Role::kLeader;
   node.m_leader = node.m_id;
-  node.m_last_leader_contact = now;  // For a leader: when it took over.
+  node.m_last_leader_contact = now;  // On a leader this is when it became leader.
   node.m_progress.clear();
   for (const wire::MemberInfo& member : node.m_membership.members) {
     if (member.id != node.m_id)
@@ -369,16 +372,15 @@
   SendAppends(node, effects, now);
 }
 
-void HandOut(LogNode& node, LogEffects& effects) {
-  node.m_handed_out = std::max(node.m_handed_out, node.m_snapshot_index);
-  while (node.m_handed_out < node.m_commit_index) {
-    ++node.m_handed_out;
-    const auto at = static_cast<std::size_t>(node.m_handed_out - node.m_snapshot_index - 1);
+void EmitCommitted(LogNode& node, LogEffects& effects) {
+  node.m_emitted_index = std::max(node.m_emitted_index, node.m_snapshot_index);
+  while (node.m_emitted_index < node.m_commit_index) {
+    ++node.m_emitted_index;
+    const auto at = static_cast<std::size_t>(node.m_emitted_index - node.m_snapshot_index - 1);
     effects.m_committed.push_back(node.m_entries[at]);
   }
 }
 
-/// Commits the highest index of this term that a majority of voters holds.
 void AdvanceCommit(LogNode& node, LogEffects& effects) {
   std::vector<std::int64_t> matches;
   for (const wire::MemberInfo& member : node.m_membership.members) {
@@ -386,7 +388,7 @@
       continue;
     const auto progress = node.m_progress.find(member.id);
     if (member.id == node.m_id)
-      matches.push_back(node.m_saved);
+      matches.push_back(node.m_durable_index);
     else
       matches.push_back(progress == node.m_progress.end() ? 0 : progress->second.m_match);
   }
@@ -397,7 +399,7 @@
   const std::int64_t index = matches[majority - 1];
   if (index > node.m_commit_index && TermAt(node, index) == node.m_hard_state.term)
     node.m_commit_index = index;
-  HandOut(node, effects);
+  EmitCommitted(node, effects);
 }
 
 }  // namespace impl
--- a/packages/log/src/log_store.cc
+++ b/packages/log/src/log_store.cc
@@ -22,7 +22,7 @@
 using impl::Record;
 using impl::RecordType;
 
-constexpr int kFormat = 1;
+constexpr int kFormat = 1;  // The version of the folder's format.
 constexpr const char* kIdentityFile = "identity";
 constexpr const char* kSegmentPrefix = "segment-";
 constexpr const char* kSnapshotPrefix = "snapshot-";
@@ -37,7 +37,7 @@
   return std::to_string(number);
 }
 
-std::int64_t NumberIn(std::string_view bytes) {
+std::int64_t NumberFromBytes(std::string_view bytes) {
   std::int64_t number = 0;
   std::memcpy(&number, bytes.data(), std::min(bytes.size(), sizeof(number)));
   return number;
@@ -47,13 +47,14 @@
   return std::string(reinterpret_cast<const char*>(&number), sizeof(number));
 }
 
-/// Numbers of the files `prefix<number>` in `folder`, ascending.
-std::vector<std::int64_t> NumbersOf(const std::string& folder, const std::string& prefix) {
+/// Returns the numbers of the files `prefix<number>` in `folder`, ascending. Temporary files, whose
+/// names hold a dot, are left out.
+std::vector<std::int64_t> ListFileNumbers(const std::string& folder, const std::string& prefix) {
   std::vector<std::int64_t> numbers;
   for (const auto& entry : fs::directory_iterator(folder)) {
     const std::string name = entry.path().filename().string();
-    const bool ours = name.starts_with(prefix) && name.find('.') == std::string::npos;
-    if (ours)
+    const bool matches = name.starts_with(prefix) && name.find('.') == std::string::npos;
+    if (matches)
       numbers.push_back(std::stoll(name.substr(prefix.size())));
   }
   std::sort(numbers.begin(), numbers.end());
@@ -69,11 +70,11 @@
   return synced;
 }
 
-/// Writes a file so that it is there whole or not at all.
-bool WriteWhole(const std::string& folder,
-                const std::string& name,
-                std::string_view bytes,
-                const FileOps& ops) {
+/// Writes a file atomically: after a crash it is complete or missing.
+bool WriteFileAtomically(const std::string& folder,
+                         const std::string& name,
+                         std::string_view bytes,
+                         const FileOps& ops) {
   const std::string path = folder + "/" + name;
   const std::string temporary = path + ".tmp";
   const int fd = open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
@@ -89,27 +90,27 @@
                            StoredLog& stored) {
   std::istringstream text(ReadAll(folder + "/" + kIdentityFile));
   int format = 0;
-  std::string found;
-  text >> format >> stored.m_id >> found;
-  const std::string where = folder + "/" + kIdentityFile + ": ";
+  std::string stored_cluster;
+  text >> format >> stored.m_id >> stored_cluster;
+  const std::string prefix = folder + "/" + kIdentityFile + ": ";
   if (!text || stored.m_id == 0)
-    return Fail(ResultCode::kDataDamaged, where + "can't be read");
+    return Fail(ResultCode::kDataDamaged, prefix + "can't be read");
   if (format > kFormat)
-    return Fail(ResultCode::kDataNewer, where + "format " + std::to_string(format) +
+    return Fail(ResultCode::kDataNewer, prefix + "format " + std::to_string(format) +
                                             "; this program knows up to " +
                                             std::to_string(kFormat));
-  if (found != cluster)
+  if (stored_cluster != cluster)
     return Fail(ResultCode::kDataForeign,
-                where + "belongs to cluster '" + found + "', not '" + cluster + "'");
+                prefix + "belongs to cluster '" + stored_cluster + "', not '" + cluster + "'");
   return {};
 }
 
 Result<void> ReadSnapshot(const std::string& path, StoredLog& stored) {
   const std::string bytes = ReadAll(path);
   Result<std::optional<Record>> record = ReadRecord(bytes, 0);
-  const bool whole = record && record->has_value() && (*record)->m_end == bytes.size();
-  if (!whole)
-    return Fail(ResultCode::kDataDamaged, path + ": the snapshot doesn't check");
+  const bool is_complete = record && record->has_value() && (*record)->m_end == bytes.size();
+  if (!is_complete)
+    return Fail(ResultCode::kDataDamaged, path + ": the snapshot is damaged or incomplete");
   Result<wire::Snapshot> snapshot = Deserialize<wire::Snapshot>((*record)->m_payload);
   if (!snapshot)
     return Fail(ResultCode::kDataDamaged, path + ": " + snapshot.error().m_message);
@@ -117,10 +118,10 @@
   return {};
 }
 
-Result<void> Replay(const Record& record, const std::string& folder, StoredLog& stored) {
+Result<void> ReplayRecord(const Record& record, const std::string& folder, StoredLog& stored) {
   switch (record.m_type) {
     case RecordType::kBase: {
-      const std::int64_t base = NumberIn(record.m_payload);
+      const std::int64_t base = NumberFromBytes(record.m_payload);
       if (base == 0)
         return {};
       return ReadSnapshot(folder + "/" + kSnapshotPrefix + NumberText(base), stored);
@@ -133,7 +134,7 @@
       return {};
     }
     case RecordType::kTruncate: {
-      const std::int64_t last = NumberIn(record.m_payload);
+      const std::int64_t last = NumberFromBytes(record.m_payload);
       std::erase_if(stored.m_entries,
                     [last](const wire::LogEntry& entry) { return entry.index > last; });
       return {};
@@ -142,17 +143,17 @@
       Result<wire::LogEntry> entry = Deserialize<wire::LogEntry>(record.m_payload);
       if (!entry)
         return tl::unexpected<Error>(entry.error());
-      // One that was written again takes the place of what stood there.
+      // An entry that was written again replaces the earlier one and all that followed it.
       while (!stored.m_entries.empty() && stored.m_entries.back().index >= entry->index)
         stored.m_entries.pop_back();
       stored.m_entries.push_back(std::move(*entry));
       return {};
     }
   }
-  return Fail(ResultCode::kDataDamaged, "unknown kind of record");
+  return Fail(ResultCode::kDataDamaged, "unknown record type");
 }
 
-/// Reads the segment; cuts a torn end.
+/// Reads a segment and truncates a torn end.
 Result<void> ReadSegment(const std::string& folder, const std::string& path, StoredLog& stored) {
   const std::string bytes = ReadAll(path);
   std::size_t offset = 0;
@@ -162,13 +163,13 @@
       return Fail(record.error().m_code, path + ": " + record.error().m_message);
     if (!record->has_value())
       break;
-    if (Result<void> replayed = Replay(**record, folder, stored); !replayed)
+    if (Result<void> replayed = ReplayRecord(**record, folder, stored); !replayed)
       return Fail(ResultCode::kDataDamaged, path + ": " + replayed.error().m_message);
     offset = (*record)->m_end;
   }
   stored.m_torn_bytes = bytes.size() - offset;
   if (stored.m_torn_bytes > 0 && truncate(path.c_str(), static_cast<off_t>(offset)) != 0)
-    return Fail(ResultCode::kDiskFailed, path + ": can't cut its torn end");
+    return Fail(ResultCode::kDiskFailed, path + ": can't truncate its torn end");
   return {};
 }
 
@@ -199,7 +200,7 @@
 
 Result<std::unique_ptr<LogStore>> LogStore::Open(const std::string& folder,
                                                  const std::string& cluster,
-                                                 MemberId fresh_id,
+                                                 MemberId new_id,
                                                  StoredLog& stored,
                                                  FileOps ops) {
   std::error_code fault;
@@ -208,16 +209,18 @@
     return Fail(ResultCode::kDiskFailed, folder + ": " + fault.message());
   std::unique_ptr<LogStore> store(new LogStore(folder, std::move(ops)));
   const bool blank = !fs::exists(folder + "/" + kIdentityFile);
-  const std::vector<std::int64_t> segments = NumbersOf(folder, kSegmentPrefix);
-  const bool snapshots = !NumbersOf(folder, kSnapshotPrefix).empty();
-  // An identity goes with a segment; only a crash right after making it leaves it alone.
-  const bool half = (blank && (!segments.empty() || snapshots)) || (segments.empty() && snapshots);
-  if (half)
+  const std::vector<std::int64_t> segments = ListFileNumbers(folder, kSegmentPrefix);
+  const bool snapshots = !ListFileNumbers(folder, kSnapshotPrefix).empty();
+  // Every folder with an identity has a segment, unless a crash came right after the identity was
+  // written.
+  const bool incomplete =
+      (blank && (!segments.empty() || snapshots)) || (segments.empty() && snapshots);
+  if (incomplete)
     return Fail(ResultCode::kDataDamaged, folder + ": some of its files are missing");
   if (blank) {
     const std::string text =
-        std::to_string(kFormat) + " " + std::to_string(fresh_id) + " " + cluster + "\n";
-    if (!WriteWhole(folder, kIdentityFile, text, store->m_ops))
+        std::to_string(kFormat) + " " + std::to_string(new_id) + " " + cluster + "\n";
+    if (!WriteFileAtomically(folder, kIdentityFile, text, store->m_ops))
       return Fail(ResultCode::kDiskFailed, folder + ": can't write the identity");
   }
   if (Result<void> checked = CheckIdentity(folder, cluster, stored); !checked)
@@ -242,25 +245,25 @@
   return store;
 }
 
-Result<void> LogStore::Broken(const std::string& what) {
+Result<void> LogStore::MarkFailed(const std::string& what) {
   m_failed = true;
   return Fail(ResultCode::kDiskFailed, m_folder + ": " + what + " failed");
 }
 
-Result<void> LogStore::Full(const std::string& what) const {
-  return Fail(ResultCode::kDiskFull, m_folder + ": no room for " + what);
+Result<void> LogStore::DiskFullError(const std::string& what) const {
+  return Fail(ResultCode::kDiskFull, m_folder + ": no disk space for " + what);
 }
 
-bool LogStore::CutTorn() {
-  if (!m_torn)
+bool LogStore::TruncateTornTail() {
+  if (!m_has_torn_tail)
     return true;
-  m_torn = ftruncate(m_segment, static_cast<off_t>(m_segment_bytes)) != 0;
-  return !m_torn;
+  m_has_torn_tail = ftruncate(m_segment, static_cast<off_t>(m_segment_bytes)) != 0;
+  return !m_has_torn_tail;
 }
 
 Result<void> LogStore::Save(const LogNode& node, const LogEffects& effects) {
   if (m_failed)
-    return Broken("an earlier write");
+    return MarkFailed("an earlier write");
   if (effects.m_install)
     return SaveSnapshot(node, *effects.m_install);
   std::string bytes;
@@ -272,28 +275,28 @@
     AppendRecord(bytes, RecordType::kEntry, Serialize(entry));
   if (bytes.empty())
     return {};
-  if (!CutTorn())
-    return Full("the log");
+  if (!TruncateTornTail())
+    return DiskFullError("the log");
   if (!m_ops.m_write(m_segment, bytes)) {
-    m_torn = true;
-    (void)CutTorn();  // Else before the next write.
-    return Full("the log");
+    m_has_torn_tail = true;
+    (void)TruncateTornTail();  // If this fails, it is retried before the next write.
+    return DiskFullError("the log");
   }
   m_segment_bytes += static_cast<std::int64_t>(bytes.size());
-  // What a failed sync leaves on the disk can't be known, also if a later one succeeds.
+  // After a failed sync the contents of the disk are unknown, even if a later sync succeeds.
   if (!m_ops.m_sync(m_segment))
-    return Broken("a sync");
+    return MarkFailed("a sync");
   return {};
 }
 
 Result<void> LogStore::SaveSnapshot(const LogNode& node, const wire::Snapshot& snapshot) {
   if (m_failed)
-    return Broken("an earlier write");
+    return MarkFailed("an earlier write");
   std::string bytes;
   AppendRecord(bytes, RecordType::kBase, Serialize(snapshot));
   const std::string name = kSnapshotPrefix + NumberText(snapshot.index);
-  if (!WriteWhole(m_folder, name, bytes, m_ops))
-    return Full("a snapshot");
+  if (!WriteFileAtomically(m_folder, name, bytes, m_ops))
+    return DiskFullError("a snapshot");
   return BeginSegment(node);
 }
 
@@ -305,22 +308,22 @@
     AppendRecord(bytes, RecordType::kEntry, Serialize(entry));
   const std::int64_t number = m_segment_number + 1;
   const std::string name = kSegmentPrefix + NumberText(number);
-  if (!WriteWhole(m_folder, name, bytes, m_ops))
-    return Full("a segment");
+  if (!WriteFileAtomically(m_folder, name, bytes, m_ops))
+    return DiskFullError("a segment");
   if (m_segment >= 0)
     close(m_segment);
   m_segment = open((m_folder + "/" + name).c_str(), O_WRONLY | O_APPEND | O_CLOEXEC);
   if (m_segment < 0)
-    return Broken("opening a segment");
+    return MarkFailed("opening a segment");
   m_segment_number = number;
   m_segment_bytes = static_cast<std::int64_t>(bytes.size());
-  m_torn = false;
-  // The new segment is whole: older files are not needed any more.
-  for (const std::int64_t old : NumbersOf(m_folder, kSegmentPrefix)) {
+  m_has_torn_tail = false;
+  // The new segment is complete, so older files are no longer needed.
+  for (const std::int64_t old : ListFileNumbers(m_folder, kSegmentPrefix)) {
     if (old < number)
       fs::remove(m_folder + "/" + kSegmentPrefix + NumberText(old));
   }
-  for (const std::int64_t old : NumbersOf(m_folder, kSnapshotPrefix)) {
+  for (const std::int64_t old : ListFileNumbers(m_folder, kSnapshotPrefix)) {
     if (old != node.m_snapshot_index)
       fs::remove(m_folder + "/" + kSnapshotPrefix + NumberText(old));
   }
--- a/packages/log/src/record.cc
+++ b/packages/log/src/record.cc
@@ -11,17 +11,17 @@
 constexpr std::size_t kLengthBytes = 4;
 constexpr std::size_t kTypeBytes = 1;
 constexpr std::size_t kHashBytes = 8;
-constexpr std::size_t kHeadBytes = kLengthBytes + kTypeBytes + kHashBytes;
-constexpr char kEndMark = '\xA5';
-constexpr std::size_t kTailBytes = kHashBytes + 1;
+constexpr std::size_t kHeaderBytes = kLengthBytes + kTypeBytes + kHashBytes;
+constexpr char kEndMark = '\xA5';  // It differs from zero, which a torn end may hold.
+constexpr std::size_t kTrailerBytes = kHashBytes + 1;
 
-void AppendHash(std::string& out, std::string_view of) {
-  const std::uint64_t hash = Hash(of);
+void AppendHash(std::string& out, std::string_view bytes) {
+  const std::uint64_t hash = Hash(bytes);
   out.append(reinterpret_cast<const char*>(&hash), kHashBytes);
 }
 
-bool HashMatches(std::string_view stored, std::string_view of) {
-  const std::uint64_t hash = Hash(of);
+bool HashMatches(std::string_view stored, std::string_view bytes) {
+  const std::uint64_t hash = Hash(bytes);
   return std::memcmp(stored.data(), &hash, kHashBytes) == 0;
 }
 
@@ -37,10 +37,10 @@
 
 void AppendRecord(std::string& out, RecordType type, std::string_view payload) {
   const auto length = static_cast<std::uint32_t>(payload.size());
-  std::string head(reinterpret_cast<const char*>(&length), kLengthBytes);
-  head += static_cast<char>(type);
-  out += head;
-  AppendHash(out, head);
+  std::string header(reinterpret_cast<const char*>(&length), kLengthBytes);
+  header += static_cast<char>(type);
+  out += header;
+  AppendHash(out, header);
   out += payload;
   AppendHash(out, payload);
   out += kEndMark;
@@ -48,34 +48,34 @@
 
 Result<std::optional<Record>> ReadRecord(std::string_view bytes, std::size_t offset) {
   const std::string_view rest = bytes.substr(offset);
-  if (rest.size() < kHeadBytes || AllZero(rest))
+  if (rest.size() < kHeaderBytes || AllZero(rest))
     return std::nullopt;
-  const std::string_view head = rest.substr(0, kLengthBytes + kTypeBytes);
-  if (!HashMatches(rest.substr(head.size(), kHashBytes), head)) {
-    const bool torn_head = AllZero(rest.substr(kHeadBytes - 1));
-    if (torn_head)
+  const std::string_view header = rest.substr(0, kLengthBytes + kTypeBytes);
+  if (!HashMatches(rest.substr(header.size(), kHashBytes), header)) {
+    const bool torn_header = AllZero(rest.substr(kHeaderBytes - 1));
+    if (torn_header)
       return std::nullopt;
-    return Damaged(offset, "its head doesn't check");
+    return Damaged(offset, "header checksum mismatch");
   }
   std::uint32_t length = 0;
-  std::memcpy(&length, head.data(), kLengthBytes);
-  const std::size_t whole = kHeadBytes + length + kTailBytes;
-  if (rest.size() < whole)
+  std::memcpy(&length, header.data(), kLengthBytes);
+  const std::size_t total = kHeaderBytes + length + kTrailerBytes;
+  if (rest.size() < total)
     return std::nullopt;
-  const std::string_view payload = rest.substr(kHeadBytes, length);
-  const bool marked = rest[whole - 1] == kEndMark;
-  if (!HashMatches(rest.substr(kHeadBytes + length, kHashBytes), payload)) {
-    const bool torn = rest[whole - 1] == '\0' && AllZero(rest.substr(whole));
+  const std::string_view payload = rest.substr(kHeaderBytes, length);
+  const bool marked = rest[total - 1] == kEndMark;
+  if (!HashMatches(rest.substr(kHeaderBytes + length, kHashBytes), payload)) {
+    const bool torn = rest[total - 1] == '\0' && AllZero(rest.substr(total));
     if (torn)
       return std::nullopt;
-    return Damaged(offset, "its payload doesn't check");
+    return Damaged(offset, "payload checksum mismatch");
   }
   if (!marked) {
-    if (rest.size() == whole)
+    if (rest.size() == total)
       return std::nullopt;
-    return Damaged(offset, "its end mark is missing");
+    return Damaged(offset, "the end mark is missing");
   }
-  return Record{static_cast<RecordType>(head[kLengthBytes]), payload, offset + whole};
+  return Record{static_cast<RecordType>(header[kLengthBytes]), payload, offset + total};
 }
 
 }  // namespace poppyway::impl
--- a/packages/log/src/replication.cc
+++ b/packages/log/src/replication.cc
@@ -7,17 +7,21 @@
 namespace poppyway::impl {
 namespace {
 
-constexpr std::size_t kMaxEntries = 512;  // In one append message.
-// What else a connection carries waits for no more than this of the log.
+constexpr std::size_t kMaxEntries = 512;  // The most entries in one append.
+// The size of an append is bounded because other messages on the connection wait for it. The last
+// entry of an append may exceed the bound.
 constexpr std::size_t kMaxAppendBytes = 64 << 10;
-constexpr Duration kSnapshotResend{2'000'000};
+// A member that still lacks the snapshot gets it again at most this often.
+constexpr Duration kSnapshotResendInterval{2'000'000};
 
-void Reply(const LogNode& node,
-           MemberId to,
-           bool ok,
-           std::int64_t match,
-           std::int64_t sent_us,
-           LogEffects& effects) {
+/// Queues a reply to an append or a snapshot. `sent_us` is the append's send time, zero for a
+/// snapshot.
+void SendAppendReply(const LogNode& node,
+                     MemberId to,
+                     bool ok,
+                     std::int64_t match,
+                     std::int64_t sent_us,
+                     LogEffects& effects) {
   wire::AppendReply reply;
   reply.sent_us = sent_us;
   reply.term = node.m_hard_state.term;
@@ -28,14 +32,21 @@
   effects.m_send.push_back(std::move(message));
 }
 
-void HearLeader(LogNode& node, MemberId from, std::int64_t term, LogEffects& effects, Instant now) {
+/// Follows the sender of a valid append or snapshot and restarts the election timeout.
+void AcceptLeader(LogNode& node,
+                  MemberId from,
+                  std::int64_t term,
+                  LogEffects& effects,
+                  Instant now) {
   BecomeFollower(node, term, from, effects, now);
   node.m_last_leader_contact = now;
-  ResetElection(node, now);
+  ResetElectionTimeout(node, now);
 }
 
-/// Where the leader should look next after a mismatch at `prev`: before the whole conflicting term.
-std::int64_t MismatchHint(const LogNode& node, std::int64_t prev) {
+/// Returns the index from which the leader should continue after a mismatch at `prev`: the last
+/// entry before the whole conflicting term, or the commit index if that is higher. In a log
+/// that ends before `prev` this is the last index.
+std::int64_t ConflictHint(const LogNode& node, std::int64_t prev) {
   if (prev > LastIndex(node))
     return LastIndex(node);
   const std::int64_t term = TermAt(node, prev);
@@ -47,9 +58,10 @@
 
 void SendSnapshot(LogNode& node, MemberId to, LogEffects& effects, Instant now) {
   Progress& progress = node.m_progress[to];
-  if (progress.m_snapshot_sent != Instant{} && now - progress.m_snapshot_sent < kSnapshotResend)
+  if (progress.m_last_snapshot != Instant{} &&
+      now - progress.m_last_snapshot < kSnapshotResendInterval)
     return;
-  progress.m_snapshot_sent = now;
+  progress.m_last_snapshot = now;
   wire::SnapshotRequest request;
   request.term = node.m_hard_state.term;
   request.snapshot.index = node.m_snapshot_index;
@@ -82,7 +94,8 @@
     bytes += EntrySizeBytes(node.m_entries[i]);
     request.entries.push_back(node.m_entries[i]);
   }
-  progress.m_next += static_cast<std::int64_t>(request.entries.size());  // Pipelined.
+  // Appends are pipelined: the next one doesn't wait for a reply.
+  progress.m_next += static_cast<std::int64_t>(request.entries.size());
   wire::LogMessage message = Message(node, to);
   message.body.__set_append(std::move(request));
   effects.m_send.push_back(std::move(message));
@@ -104,40 +117,42 @@
               LogEffects& effects,
               Instant now) {
   if (request.term < node.m_hard_state.term) {
-    Reply(node, from, false, LastIndex(node), request.sent_us, effects);
+    SendAppendReply(node, from, false, LastIndex(node), request.sent_us, effects);
     return;
   }
-  HearLeader(node, from, request.term, effects, now);
+  AcceptLeader(node, from, request.term, effects, now);
   const bool behind_snapshot = request.prev_index < node.m_snapshot_index;
   if (!behind_snapshot && TermAt(node, request.prev_index) != request.prev_term) {
-    Reply(node, from, false, MismatchHint(node, request.prev_index), request.sent_us, effects);
+    SendAppendReply(node, from, false, ConflictHint(node, request.prev_index), request.sent_us,
+                    effects);
     return;
   }
-  std::vector<wire::LogEntry> fresh;
+  std::vector<wire::LogEntry> new_entries;
   for (const wire::LogEntry& entry : request.entries) {
     if (entry.index <= node.m_snapshot_index)
       continue;
-    if (fresh.empty() && TermAt(node, entry.index) == entry.term)
-      continue;  // Held already.
-    if (fresh.empty() && entry.index <= LastIndex(node)) {
+    if (new_entries.empty() && TermAt(node, entry.index) == entry.term)
+      continue;  // The log holds this entry already.
+    if (new_entries.empty() && entry.index <= LastIndex(node)) {
       effects.m_truncate_after = entry.index - 1;
-      ForgetSavedAfter(node, entry.index - 1);
+      LowerDurableIndex(node, entry.index - 1);
       while (LastIndex(node) >= entry.index)
         node.m_entries.pop_back();
-      AdoptMembership(node);
+      UseLatestMembership(node);
     }
-    fresh.push_back(entry);
+    new_entries.push_back(entry);
   }
   const std::int64_t match =
       std::max(node.m_snapshot_index,
                request.prev_index + static_cast<std::int64_t>(request.entries.size()));
-  AppendLocal(node, std::move(fresh), effects);
+  AppendLocal(node, std::move(new_entries), effects);
   node.m_commit_index = std::max(node.m_commit_index, std::min(request.commit, match));
-  HandOut(node, effects);
-  Reply(node, from, true, match, request.sent_us, effects);
-  // That one waits for the save. This one tells the leader in time that it is followed.
-  if (node.m_save_in_progress && match > node.m_saved)
-    Reply(node, from, true, node.m_saved, request.sent_us, effects);
+  EmitCommitted(node, effects);
+  SendAppendReply(node, from, true, match, request.sent_us, effects);
+  // The reply above is deferred until the save has ended. This one acknowledges only durable
+  // entries, so it goes out at once and shows the leader that this follower is active.
+  if (node.m_save_in_progress && match > node.m_durable_index)
+    SendAppendReply(node, from, true, node.m_durable_index, request.sent_us, effects);
 }
 
 void OnAppendReply(LogNode& node,
@@ -154,14 +169,14 @@
       found == node.m_progress.end())
     return;
   Progress& progress = found->second;
-  progress.m_heard = now;
+  progress.m_last_reply = now;
   const Instant sent{Duration(reply.sent_us)};
-  progress.m_confirmed = std::max(progress.m_confirmed, sent);
+  progress.m_last_confirmed = std::max(progress.m_last_confirmed, sent);
   if (!reply.ok) {
-    if (sent < progress.m_resent)
-      return;  // What it lacks has been sent again since.
-    progress.m_resent = now;
-    // The hint may lie below what is known to match: then it is an old reply.
+    if (sent < progress.m_last_resend)
+      return;  // The missing entries have been sent again after this append.
+    progress.m_last_resend = now;
+    // In an old reply the hint may lie below the known match index.
     progress.m_next = std::max(reply.match, progress.m_match) + 1;
     SendAppend(node, from, effects, now);
     return;
@@ -179,29 +194,30 @@
                 LogEffects& effects,
                 Instant now) {
   if (request.term < node.m_hard_state.term) {
-    Reply(node, from, false, LastIndex(node), 0, effects);
+    SendAppendReply(node, from, false, LastIndex(node), 0, effects);
     return;
   }
-  HearLeader(node, from, request.term, effects, now);
+  AcceptLeader(node, from, request.term, effects, now);
   const wire::Snapshot& snapshot = request.snapshot;
-  const bool new_here = snapshot.index > node.m_commit_index;
-  if (new_here && TermAt(node, snapshot.index) == snapshot.term) {
-    // A late one: all that it covers is held. What follows it may have been acknowledged.
+  const bool is_newer = snapshot.index > node.m_commit_index;
+  if (is_newer && TermAt(node, snapshot.index) == snapshot.term) {
+    // The snapshot is late: the log holds all entries that it covers. The entries after it are
+    // kept, since they may have been acknowledged.
     node.m_commit_index = snapshot.index;
-    HandOut(node, effects);
-  } else if (new_here) {
-    ForgetSavedAfter(node, node.m_commit_index);
+    EmitCommitted(node, effects);
+  } else if (is_newer) {
+    LowerDurableIndex(node, node.m_commit_index);
     node.m_entries.clear();
     node.m_snapshot_index = snapshot.index;
     node.m_snapshot_term = snapshot.term;
     node.m_snapshot_membership = snapshot.membership;
     node.m_snapshot_state = std::make_shared<const std::string>(snapshot.state);
     node.m_commit_index = snapshot.index;
-    node.m_handed_out = snapshot.index;
-    AdoptMembership(node);
+    node.m_emitted_index = snapshot.index;
+    UseLatestMembership(node);
     effects.m_install = snapshot;
   }
-  Reply(node, from, true, std::max(snapshot.index, node.m_commit_index), 0, effects);
+  SendAppendReply(node, from, true, std::max(snapshot.index, node.m_commit_index), 0, effects);
 }
 
 }  // namespace poppyway::impl
--- a/scripts/mutants.py
+++ b/scripts/mutants.py
@@ -58,7 +58,7 @@
      "  if (index > node.m_commit_index && TermAt(node, index) == node.m_hard_state.term)", "  if (index > node.m_commit_index)",
      "unit", "an entry of an older term is committed only*"),
     ("damaged-record-skipped", "packages/log/src/record.cc",
-     '    return Damaged(offset, "its payload doesn\'t check");', "    return std::nullopt;",
+     '    return Damaged(offset, "payload checksum mismatch");', "    return std::nullopt;",
      "unit", "a flipped bit anywhere*"),
     ("failed-sync-forgiven", "packages/log/src/log_store.cc",
      "  m_failed = true;\n", "",
--- a/tests/log_cluster.cc
+++ b/tests/log_cluster.cc
@@ -9,27 +9,28 @@
 namespace {
 
 constexpr Duration kStep{10'000};
-constexpr int kSettleSteps = 600;
+constexpr int kSettleSteps = 600;  // Steps without faults at the end.
 
-/// A member: its process (volatile) and its folder (durable).
+/// A member with its process (volatile) and its folder (durable).
 struct Member {
   std::string m_name;
   StoredLog m_disk;
   LogNode m_node;
   StateMachine m_machine;
   bool m_up = false;
-  bool m_cut = false;
+  bool m_disconnected = false;
   Instant m_frozen_until{};
-  LogEffects m_unsaved;                  ///< What the next save takes.
-  std::vector<wire::LogMessage> m_held;  ///< Until what they rest on is durable.
-  LogNode m_saving_node;                 ///< As it was when the save under way began.
-  LogEffects m_saving;                   ///< What that save makes durable.
+  LogEffects m_unsaved;                      ///< The effects that the next save makes durable.
+  std::vector<wire::LogMessage> m_deferred;  ///< Messages that depend on state not durable yet.
+  LogNode m_saving_node;                     ///< The node as of the start of the current save.
+  LogEffects m_saving;                       ///< The effects that the current save makes durable.
   std::optional<wire::Snapshot> m_compacting;
   Instant m_save_ends{};
-  std::map<std::int64_t, std::int64_t> m_proposed;  ///< Index to term of what clients await here.
+  /// The terms of the entries that were proposed here, by index.
+  std::map<std::int64_t, std::int64_t> m_proposed;
 };
 
-struct InFlight {
+struct MessageInFlight {
   Instant m_due{};
   std::size_t m_to = 0;
   wire::LogMessage m_message;
@@ -40,15 +41,15 @@
   explicit Schedule(const ScheduleSpec& spec) : m_spec(spec), m_random(spec.m_seed) {}
 
   ScheduleReport Run() {
-    Form();
+    Bootstrap();
     for (int step = 0; step < m_spec.m_steps; ++step) {
-      Disturb();
+      InjectFaults();
       Step();
       if (step % 3 == 0)
         Propose();
     }
     Heal();
-    // Each of the messages that settle the cluster may wait for a save.
+    // Each message that lets the cluster settle may wait for a save.
     for (int step = 0; step < kSettleSteps + 20 * m_spec.m_save_steps; ++step)
       Step();
     CheckEnd();
@@ -58,12 +59,12 @@
  private:
   bool Chance(double p) { return std::uniform_real_distribution<>(0, 1)(m_random) < p; }
   std::size_t Pick() { return m_random() % m_members.size(); }
-  void Violate(const std::string& what) {
+  void AddViolation(const std::string& what) {
     if (m_report.m_violations.size() < 5)
       m_report.m_violations.push_back(what);
   }
 
-  void Form() {
+  void Bootstrap() {
     wire::Membership membership;
     m_members.resize(static_cast<std::size_t>(m_spec.m_members));
     for (std::size_t i = 0; i < m_members.size(); ++i) {
@@ -72,7 +73,8 @@
       Start(m_members[i]);
       membership.members.push_back(InfoOf(m_members[i], true));
     }
-    // A cluster whose formation is lost is formed anew, which no schedule plays.
+    // No fault occurs while the cluster forms: a cluster that loses its first entry would form
+    // again, which the schedules don't cover.
     m_healed = true;
     Perform(0, BootstrapLog(m_members[0].m_node, membership, m_now));
     if (m_members[0].m_node.m_save_in_progress)
@@ -104,7 +106,7 @@
     member.m_frozen_until = {};
     member.m_proposed.clear();
     member.m_unsaved = {};
-    member.m_held.clear();
+    member.m_deferred.clear();
     member.m_saving = {};
     member.m_compacting.reset();
   }
@@ -121,10 +123,11 @@
     const MemberId old = member.m_disk.m_id;
     member.m_disk = {};
     member.m_disk.m_id = m_spec.m_keep_id_when_blank ? old : m_next_id++;
-    ++m_report.m_blanks;
+    ++m_report.m_lost_folders;
   }
 
-  /// All ids that count are up to date: only then may another folder be lost without loss of data.
+  /// Returns true if every member is a voter under its current id and the membership is committed.
+  /// Only then may another folder be lost without loss of data.
   bool Repaired() const {
     const Member* leader = Leader();
     if (leader == nullptr)
@@ -145,28 +148,28 @@
     return nullptr;
   }
 
-  void Disturb() {
+  void InjectFaults() {
     if (Chance(m_spec.m_crash))
       Crash(m_members[Pick()]);
     for (Member& member : m_members) {
       if (!member.m_up && Chance(m_spec.m_restart))
         Start(member);
-      if (member.m_cut && Chance(0.02))
-        member.m_cut = false;
+      if (member.m_disconnected && Chance(0.02))
+        member.m_disconnected = false;
     }
-    if (Chance(m_spec.m_cut))
-      m_members[Pick()].m_cut = true;
+    if (Chance(m_spec.m_disconnect))
+      m_members[Pick()].m_disconnected = true;
     if (Chance(m_spec.m_freeze))
       m_members[Pick()].m_frozen_until = m_now + Duration(2'000'000);
-    const bool may_lose = m_spec.m_keep_id_when_blank || Repaired();
-    if (Chance(m_spec.m_blank) && may_lose)
+    const bool may_lose_folder = m_spec.m_keep_id_when_blank || Repaired();
+    if (Chance(m_spec.m_lose_folder) && may_lose_folder)
       LoseFolder(m_members[Pick()]);
   }
 
   void Heal() {
     m_healed = true;
     for (Member& member : m_members) {
-      member.m_cut = false;
+      member.m_disconnected = false;
       member.m_frozen_until = {};
       if (!member.m_up)
         Start(member);
@@ -177,7 +180,7 @@
     m_now += kStep;
     for (std::size_t i = 0; i < m_members.size(); ++i) {
       Member& member = m_members[i];
-      if (!Runs(member))
+      if (!IsRunning(member))
         continue;
       if (member.m_node.m_save_in_progress && m_now >= member.m_save_ends)
         EndSave(i);
@@ -189,19 +192,20 @@
     Deliver();
   }
 
-  bool Runs(const Member& member) const { return member.m_up && m_now >= member.m_frozen_until; }
+  bool IsRunning(const Member& member) const {
+    return member.m_up && m_now >= member.m_frozen_until;
+  }
 
   void ProposeMembershipIfDue(std::size_t i) {
     Member& leader = m_members[i];
     if (leader.m_node.m_role != Role::kLeader)
       return;
-    std::vector<wire::MemberInfo> strangers;
+    std::vector<wire::MemberInfo> joining;
     for (const Member& member : m_members) {
       if (member.m_up && FindMember(leader.m_node.m_membership, member.m_disk.m_id) == nullptr)
-        strangers.push_back(InfoOf(member, false));
+        joining.push_back(InfoOf(member, false));
     }
-    const std::optional<wire::Membership> due =
-        PlanMembershipChange(leader.m_node, strangers, m_now);
+    const std::optional<wire::Membership> due = PlanMembershipChange(leader.m_node, joining, m_now);
     if (!due)
       return;
     LogEffects effects;
@@ -210,23 +214,23 @@
   }
 
   void Deliver() {
-    std::vector<InFlight> due;
-    std::vector<InFlight> later;
-    for (InFlight& flight : m_flights) {
+    std::vector<MessageInFlight> due;
+    std::vector<MessageInFlight> later;
+    for (MessageInFlight& flight : m_messages_in_flight) {
       const bool frozen = m_now < m_members[flight.m_to].m_frozen_until;
       (flight.m_due <= m_now && !frozen ? due : later).push_back(std::move(flight));
     }
-    m_flights = std::move(later);
+    m_messages_in_flight = std::move(later);
     std::shuffle(due.begin(), due.end(), m_random);
-    for (const InFlight& flight : due) {
+    for (const MessageInFlight& flight : due) {
       Member& member = m_members[flight.m_to];
-      if (member.m_up && !member.m_cut)
+      if (member.m_up && !member.m_disconnected)
         Perform(flight.m_to, StepLog(member.m_node, flight.m_message, m_now));
     }
   }
 
-  /// What a daemon does with effects: send what may be sent, apply, and save one batch after
-  /// another. A crash may fall in between.
+  /// Performs effects as a daemon does: sends the messages that are safe to send, applies entries
+  /// and saves one batch after another. A crash may occur in between.
   void Perform(std::size_t i, LogEffects effects) {
     Member& member = m_members[i];
     if (m_spec.m_send_before_sync) {
@@ -241,22 +245,22 @@
       ++m_report.m_snapshots_installed;
       (void)RestoreStateMachine(member.m_machine, *effects.m_install);
     }
-    SendOrHold(i, std::exchange(effects.m_send, {}));
+    SendOrDefer(i, std::exchange(effects.m_send, {}));
     for (const wire::LogEntry& entry : std::exchange(effects.m_committed, {}))
       Apply(member, entry);
-    NoteLeader(member);
+    CheckLeader(member);
     MergeEffects(member.m_unsaved, std::move(effects));
     BeginSave(i);
   }
 
-  void SendOrHold(std::size_t i, std::vector<wire::LogMessage> messages) {
+  void SendOrDefer(std::size_t i, std::vector<wire::LogMessage> messages) {
     Member& member = m_members[i];
     std::vector<wire::LogMessage> allowed;
     for (wire::LogMessage& message : messages) {
       if (IsSafeToSend(member.m_node, message))
         allowed.push_back(std::move(message));
       else
-        DeferMessage(member.m_held, std::move(message));
+        DeferMessage(member.m_deferred, std::move(message));
     }
     Send(i, allowed);
   }
@@ -271,8 +275,8 @@
     if (!compact && !member.m_unsaved.NeedsSync())
       return;
     if (!m_healed && Chance(m_spec.m_crash / 20)) {
-      Crash(
-          member);  // Before the save: nothing of it is durable, nothing that rests on it was sent.
+      // Before the save nothing is durable, and no message that depends on it was sent.
+      Crash(member);
       return;
     }
     if (compact)
@@ -293,11 +297,12 @@
     Member& member = m_members[i];
     MakeDurable(member);
     if (!m_healed && Chance(m_spec.m_crash / 20)) {
-      Crash(member);  // After the save, before what rests on it is sent.
+      // The save is durable, but the messages that depend on it are not sent yet.
+      Crash(member);
       return;
     }
     LogEffects effects = FinishLogSave(member.m_node);
-    SendOrHold(i, std::exchange(member.m_held, {}));
+    SendOrDefer(i, std::exchange(member.m_deferred, {}));
     Perform(i, std::move(effects));
   }
 
@@ -323,10 +328,10 @@
   }
 
   void Send(std::size_t from, const std::vector<wire::LogMessage>& messages) {
-    if (m_members[from].m_cut)
+    if (m_members[from].m_disconnected)
       return;
     for (const wire::LogMessage& message : messages) {
-      NoteVote(message);
+      CheckVote(message);
       if (!m_healed && Chance(m_spec.m_drop))
         continue;
       const auto to = std::find_if(m_members.begin(), m_members.end(), [&](const Member& member) {
@@ -335,22 +340,22 @@
       if (to == m_members.end())
         continue;
       const Duration delay(static_cast<std::int64_t>(m_random() % 30'000));
-      m_flights.push_back(
+      m_messages_in_flight.push_back(
           {m_now + delay, static_cast<std::size_t>(to - m_members.begin()), message});
     }
   }
 
-  void NoteVote(const wire::LogMessage& message) {
+  void CheckVote(const wire::LogMessage& message) {
     const wire::VoteReply& vote = message.body.vote_reply;
     if (!message.body.__isset.vote_reply || vote.pre || !vote.granted)
       return;
     const auto [given, first] =
         m_votes.emplace(std::pair(message.from_id, vote.term), message.to_id);
     if (!first && given->second != message.to_id)
-      Violate("a vote is given twice in term " + std::to_string(vote.term));
+      AddViolation("a vote is given twice in term " + std::to_string(vote.term));
   }
 
-  void NoteLeader(const Member& member) {
+  void CheckLeader(const Member& member) {
     if (member.m_node.m_role != Role::kLeader)
       return;
     const std::int64_t term = member.m_node.m_hard_state.term;
@@ -358,24 +363,25 @@
     if (added)
       ++m_report.m_leaders;
     else if (entry->second != member.m_disk.m_id)
-      Violate("two leaders in term " + std::to_string(term));
+      AddViolation("two leaders in term " + std::to_string(term));
   }
 
   void Apply(Member& member, const wire::LogEntry& entry) {
     if (entry.index <= member.m_machine.m_applied_index)
       return;
     if (entry.index != member.m_machine.m_applied_index + 1)
-      Violate("gap before index " + std::to_string(entry.index));
+      AddViolation("gap before index " + std::to_string(entry.index));
     const std::int64_t version_before = member.m_machine.m_configuration.m_version;
     const wire::CommandResult result = ApplyEntry(member.m_machine, entry);
     if (member.m_machine.m_configuration.m_version < version_before)
-      Violate("a version fell");
+      AddViolation("a version fell");
     const auto [known, first] = m_committed.emplace(entry.index, Serialize(entry));
     if (!first && known->second != Serialize(entry))
-      Violate("two entries at index " + std::to_string(entry.index));
+      AddViolation("two entries at index " + std::to_string(entry.index));
     const auto proposed = member.m_proposed.find(entry.index);
-    const bool ours = proposed != member.m_proposed.end() && proposed->second == entry.term;
-    if (!ours)
+    const bool proposed_here =
+        proposed != member.m_proposed.end() && proposed->second == entry.term;
+    if (!proposed_here)
       return;
     m_acknowledged[entry.index] = Serialize(entry);
     ++m_report.m_acknowledged;
@@ -383,16 +389,16 @@
       ++m_report.m_claims_granted;
       const std::string claimant =
           entry.command.claim.owner + "#" + std::to_string(entry.command.claim.ref);
-      const auto [holder, fresh] = m_holders.emplace(entry.command.claim.key, claimant);
-      if (!fresh && holder->second != claimant)
-        Violate("key " + entry.command.claim.key + " has two holders");
+      const auto [holder, is_first] = m_holders.emplace(entry.command.claim.key, claimant);
+      if (!is_first && holder->second != claimant)
+        AddViolation("key " + entry.command.claim.key + " has two holders");
     }
   }
 
   void Propose() {
     const std::size_t i = Pick();
     Member& member = m_members[i];
-    if (!Runs(member) || member.m_node.m_role != Role::kLeader)
+    if (!IsRunning(member) || member.m_node.m_role != Role::kLeader)
       return;
     LogEffects effects;
     const Result<std::int64_t> index =
@@ -407,7 +413,7 @@
     const std::int64_t number = ++m_commands;
     if (number % 2 == 0) {
       wire::LedgerClaim claim;
-      claim.key = "key" + std::to_string(m_random() % 20);  // Contended on purpose.
+      claim.key = "key" + std::to_string(m_random() % 20);  // Few keys, so that claims contend.
       claim.owner = "gateway" + std::to_string(m_random() % 3);
       claim.ref = number;
       claim.fingerprint = 1;
@@ -431,24 +437,25 @@
   void CheckEnd() {
     const Member* leader = Leader();
     if (leader == nullptr) {
-      Violate("no leader after all was healed");
+      AddViolation("no leader after all was healed");
       return;
     }
     const std::int64_t last = m_committed.empty() ? 0 : m_committed.rbegin()->first;
     for (const auto& [index, bytes] : m_acknowledged) {
       const auto found = m_committed.find(index);
       if (found == m_committed.end() || found->second != bytes)
-        Violate("acknowledged index " + std::to_string(index) + " is lost");
+        AddViolation("acknowledged index " + std::to_string(index) + " is lost");
     }
     std::set<std::string> states;
     for (const Member& member : m_members) {
       if (member.m_machine.m_applied_index < last)
-        Violate(member.m_name + " applied " + std::to_string(member.m_machine.m_applied_index) +
-                " of " + std::to_string(last));
+        AddViolation(member.m_name + " applied " +
+                     std::to_string(member.m_machine.m_applied_index) + " of " +
+                     std::to_string(last));
       states.insert(SerializeStateMachine(member.m_machine));
     }
     if (states.size() != 1)
-      Violate("members hold different states");
+      AddViolation("members hold different states");
     m_report.m_versions = leader->m_machine.m_configuration.m_version;
   }
 
@@ -457,14 +464,15 @@
   ScheduleReport m_report;
   Instant m_now{Duration(1'000'000)};
   std::vector<Member> m_members;
-  std::vector<InFlight> m_flights;
+  std::vector<MessageInFlight> m_messages_in_flight;
   MemberId m_next_id = 100;
   bool m_healed = false;
   std::int64_t m_commands = 0;
   std::map<std::int64_t, std::string> m_committed;
   std::map<std::int64_t, std::string> m_acknowledged;
   std::map<std::int64_t, MemberId> m_leader_of_term;
-  std::map<std::pair<MemberId, std::int64_t>, MemberId> m_votes;  ///< By voter and term.
+  /// The candidates that votes were granted to, by voter and term.
+  std::map<std::pair<MemberId, std::int64_t>, MemberId> m_votes;
   std::map<std::string, std::string> m_holders;
 };
 
--- a/tests/log_cluster.h
+++ b/tests/log_cluster.h
@@ -13,38 +13,38 @@
 
 namespace poppyway::test {
 
-/// What a schedule does to the members.
+/// The faults that a schedule injects, and its size. Chances are per step of the schedule.
 struct ScheduleSpec {
   std::uint64_t m_seed = 1;
   int m_members = 3;
-  int m_steps = 600;          ///< Of 10 ms each.
-  double m_drop = 0.02;       ///< Share of messages lost.
-  double m_crash = 0.01;      ///< Chance of a crash in a step.
-  double m_restart = 0.05;    ///< Chance that a crashed member starts again in a step.
-  double m_cut = 0.01;        ///< Chance that one member is cut off.
-  double m_freeze = 0.005;    ///< Chance that one member's process is paused for long.
-  double m_blank = 0.003;     ///< Chance that one member loses its folder.
-  int m_save_steps = 0;       ///< Most steps that a save takes; none: it ends at once.
-  int m_snapshot_every = 25;  ///< Applied entries between snapshots.
-  // Faults of a wrong driver; each must make the checker find something.
+  int m_steps = 600;             ///< The number of steps, of 10 ms each.
+  double m_drop = 0.02;          ///< The share of messages that are lost.
+  double m_crash = 0.01;         ///< The chance that one member crashes.
+  double m_restart = 0.05;       ///< The chance that a crashed member starts again.
+  double m_disconnect = 0.01;    ///< The chance that one member is disconnected.
+  double m_freeze = 0.005;       ///< The chance that one member's process pauses for 2 s.
+  double m_lose_folder = 0.003;  ///< The chance that one member loses its folder.
+  int m_save_steps = 0;          ///< A save takes fewer steps than this; 0: none.
+  int m_snapshot_every = 25;     ///< The number of applied entries between snapshots.
+  // Faults of a wrong driver. The checker must find a violation with each of them.
   bool m_keep_id_when_blank = false;
   bool m_send_before_sync = false;
   bool m_vote_is_forgotten = false;
 };
 
-/// What the checker found; empty if all held.
+/// The violations that the checker found, if any, and counts of what the schedule caused.
 struct ScheduleReport {
   std::vector<std::string> m_violations;
   std::int64_t m_acknowledged = 0;
   int m_leaders = 0;
   int m_crashes = 0;
-  int m_blanks = 0;
+  int m_lost_folders = 0;
   int m_snapshots_installed = 0;
   std::int64_t m_versions = 0;
   std::int64_t m_claims_granted = 0;
 };
 
-/// Runs one seeded schedule over real `LogNode`s and `StateMachine`s with fake storage and network.
+/// Runs one seeded schedule with real `LogNode`s and `StateMachine`s, and fake storage and network.
 [[nodiscard]] ScheduleReport RunSchedule(const ScheduleSpec& spec);
 
 }  // namespace poppyway::test
--- a/tests/log_membership_test.cc
+++ b/tests/log_membership_test.cc
@@ -18,7 +18,7 @@
   return member;
 }
 
-/// A leader of `voters` voters, all of which answered just now.
+/// Returns a leader of a cluster with `voters` voters, all of which replied just now.
 LogNode MakeLeader(int voters) {
   LogNode node;
   node.m_id = 1;
@@ -32,7 +32,7 @@
   return node;
 }
 
-wire::LogMessage AppendAnswer(MemberId from, Instant sent) {
+wire::LogMessage MakeAppendReply(MemberId from, Instant sent) {
   wire::AppendReply reply;
   reply.term = 3;
   reply.ok = true;
@@ -52,11 +52,11 @@
 TEST_CASE("an answer that was long on its way confirms no leader") {
   LogNode node = MakeLeader(3);
   for (auto& [id, progress] : node.m_progress)
-    progress.m_confirmed = {};
-  (void)StepLog(node, AppendAnswer(2, kNow - Duration(4'000'000)), kNow);
+    progress.m_last_confirmed = {};
+  (void)StepLog(node, MakeAppendReply(2, kNow - Duration(4'000'000)), kNow);
   CHECK(LeadsWithQuorum(node, kNow));
   CHECK_FALSE(CanServeLinearizableReads(node, node.m_commit_index, kNow));
-  (void)StepLog(node, AppendAnswer(2, kNow - Duration(5'000)), kNow);
+  (void)StepLog(node, MakeAppendReply(2, kNow - Duration(5'000)), kNow);
   CHECK(CanServeLinearizableReads(node, node.m_commit_index, kNow));
   CHECK_FALSE(
       CanServeLinearizableReads(node, node.m_commit_index, kNow + node.m_timing.m_election_min));
@@ -71,7 +71,7 @@
 }
 
 TEST_CASE("a leader that has not applied the first entry of its term confirms nothing") {
-  // Its state misses what an earlier leader acknowledged.
+  // Its state lacks entries that an earlier leader acknowledged.
   LogNode node = MakeLeader(3);
   node.m_term_start = 1;
   node.m_commit_index = 1;
@@ -81,7 +81,7 @@
 
 TEST_CASE("a gone voter is removed once a successor has caught up") {
   LogNode node = MakeLeader(5);
-  node.m_progress[4].m_heard = kNow - Duration(20'000'000);
+  node.m_progress[4].m_last_reply = kNow - Duration(20'000'000);
   CHECK_FALSE(RemovableVoter(node, kNow));
   node.m_membership.members.push_back(MakeMember(6, false));
   node.m_progress[6] = {1, 0, kNow, {}, kNow};
@@ -93,18 +93,18 @@
 
 TEST_CASE("with an even count of voters a gone one is removed without a successor") {
   LogNode node = MakeLeader(6);
-  node.m_progress[5].m_heard = kNow - Duration(20'000'000);
+  node.m_progress[5].m_last_reply = kNow - Duration(20'000'000);
   CHECK(RemovableVoter(node, kNow) == 5);
 }
 
 TEST_CASE("a voter that only restarts, or one of the last three, is never removed") {
   LogNode node = MakeLeader(6);
-  node.m_progress[5].m_heard = kNow - Duration(2'000'000);
+  node.m_progress[5].m_last_reply = kNow - Duration(2'000'000);
   CHECK_FALSE(RemovableVoter(node, kNow));
   LogNode small = MakeLeader(3);
   small.m_membership.members.push_back(MakeMember(6, false));
   small.m_progress[6] = {1, 0, kNow, {}, kNow};
-  small.m_progress[2].m_heard = kNow - Duration(20'000'000);
+  small.m_progress[2].m_last_reply = kNow - Duration(20'000'000);
   CHECK_FALSE(RemovableVoter(small, kNow));
 }
 
--- a/tests/log_node_test.cc
+++ b/tests/log_node_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Single rules of the log, step by step.
+// Tests of single Raft rules on one node.
 
 #include <catch2/catch.hpp>
 
@@ -14,7 +14,7 @@
   return Instant(Duration(1'000'000 + millis * 1000));
 }
 
-wire::LogEntry Noop(std::int64_t index, std::int64_t term) {
+wire::LogEntry MakeNoop(std::int64_t index, std::int64_t term) {
   wire::LogEntry entry;
   entry.index = index;
   entry.term = term;
@@ -34,11 +34,11 @@
   return membership;
 }
 
-LogNode Node(MemberId id, std::vector<wire::LogEntry> entries, std::int64_t term) {
+LogNode MakeNode(MemberId id, std::vector<wire::LogEntry> entries, std::int64_t term) {
   StoredLog stored;
   stored.m_id = id;
   stored.m_hard_state.term = term;
-  wire::LogEntry first = Noop(1, 1);
+  wire::LogEntry first = MakeNoop(1, 1);
   first.command = {};
   first.command.__set_membership(Voters({1, 2, 3}));
   stored.m_entries.push_back(first);
@@ -51,7 +51,7 @@
   return node;
 }
 
-wire::LogMessage From(MemberId from, MemberId to) {
+wire::LogMessage MakeMessage(MemberId from, MemberId to) {
   wire::LogMessage message;
   message.from_id = from;
   message.to_id = to;
@@ -59,18 +59,18 @@
   return message;
 }
 
-/// Makes durable all that the node has so far.
+/// Makes the node's current state durable.
 void Save(LogNode& node) {
   BeginLogSave(node);
   (void)FinishLogSave(node);
 }
 
-/// Elects node 1 by the votes of node 2.
+/// Makes node 1 the leader with the votes of node 2.
 void Elect(LogNode& node, int at) {
   (void)TickLog(node, At(at));
   (void)TickLog(node, At(at + 1000));
   for (const bool pre : {true, false}) {
-    wire::LogMessage vote = From(2, node.m_id);
+    wire::LogMessage vote = MakeMessage(2, node.m_id);
     wire::VoteReply reply;
     reply.granted = true;
     reply.pre = pre;
@@ -83,7 +83,7 @@
 }
 
 LogEffects Acknowledge(LogNode& node, MemberId from, std::int64_t match, int at) {
-  wire::LogMessage message = From(from, node.m_id);
+  wire::LogMessage message = MakeMessage(from, node.m_id);
   wire::AppendReply reply;
   reply.term = node.m_hard_state.term;
   reply.ok = true;
@@ -96,20 +96,21 @@
 
 TEST_CASE("an entry of an older term is committed only by one of the leader's own term",
           "[log][commit]") {
-  // Figure 8 of the Raft paper: an old entry on a majority may still be overwritten.
-  LogNode node = Node(1, {Noop(2, 2)}, 3);
+  // Figure 8 of the Raft paper: an entry of an older term may be overwritten even if a majority
+  // holds it.
+  LogNode node = MakeNode(1, {MakeNoop(2, 2)}, 3);
   Elect(node, 0);
-  CHECK(LastIndex(node) == 3);  // Its own term's first entry.
+  CHECK(LastIndex(node) == 3);  // The first entry of its own term.
   CHECK(Acknowledge(node, 2, 2, 1100).m_committed.empty());
   CHECK(node.m_commit_index == 0);
   CHECK(Acknowledge(node, 2, 3, 1200).m_committed.size() == 3);
 }
 
 TEST_CASE("a vote is given once in a term and only to a log as good as its own", "[log][vote]") {
-  LogNode node = Node(1, {Noop(2, 2), Noop(3, 2)}, 2);
-  const auto ask = [&](MemberId candidate, std::int64_t term, std::int64_t index,
-                       std::int64_t last_term) {
-    wire::LogMessage message = From(candidate, 1);
+  LogNode node = MakeNode(1, {MakeNoop(2, 2), MakeNoop(3, 2)}, 2);
+  const auto request_vote = [&](MemberId candidate, std::int64_t term, std::int64_t index,
+                                std::int64_t last_term) {
+    wire::LogMessage message = MakeMessage(candidate, 1);
     wire::VoteRequest request;
     request.term = term;
     request.last_index = index;
@@ -120,17 +121,17 @@
     REQUIRE(effects.m_send.size() == 1);
     return effects.m_send[0].body.vote_reply.granted;
   };
-  CHECK_FALSE(ask(2, 3, 2, 2));  // Shorter.
-  CHECK_FALSE(ask(2, 3, 9, 1));  // Older last term.
-  CHECK(ask(2, 3, 3, 2));
-  CHECK(ask(2, 3, 3, 2));  // The same candidate again.
-  CHECK_FALSE(ask(3, 3, 4, 2));
+  CHECK_FALSE(request_vote(2, 3, 2, 2));  // The candidate's log is shorter.
+  CHECK_FALSE(request_vote(2, 3, 9, 1));  // Its last term is older.
+  CHECK(request_vote(2, 3, 3, 2));
+  CHECK(request_vote(2, 3, 3, 2));  // The same candidate gets the vote again.
+  CHECK_FALSE(request_vote(3, 3, 4, 2));
 }
 
-// Guards against entries that were acknowledged and are lost to a snapshot from before them.
+// Guards against the loss of acknowledged entries when a snapshot of earlier entries arrives late.
 TEST_CASE("a late snapshot leaves the entries that follow it alone", "[log][snapshot]") {
-  LogNode node = Node(1, {Noop(2, 2), Noop(3, 2), Noop(4, 2)}, 2);
-  wire::LogMessage late = From(2, 1);
+  LogNode node = MakeNode(1, {MakeNoop(2, 2), MakeNoop(3, 2), MakeNoop(4, 2)}, 2);
+  wire::LogMessage late = MakeMessage(2, 1);
   wire::SnapshotRequest request;
   request.term = 2;
   request.snapshot.index = 3;
@@ -141,7 +142,7 @@
   CHECK_FALSE(effects.m_install);
   CHECK(node.m_commit_index == 3);
   CHECK(effects.m_committed.size() == 3);
-  // One that it can't check against its own log takes the log's place.
+  // A snapshot beyond the end of the log replaces the log.
   request.snapshot.index = 9;
   late.body.__set_snapshot(request);
   CHECK(StepLog(node, late, At(1)).m_install);
@@ -149,21 +150,21 @@
 }
 
 TEST_CASE("a member that hears its leader is not disturbed by a returning one", "[log][vote]") {
-  LogNode node = Node(1, {}, 2);
-  wire::LogMessage append = From(2, 1);
+  LogNode node = MakeNode(1, {}, 2);
+  wire::LogMessage append = MakeMessage(2, 1);
   wire::AppendRequest request;
   request.term = 2;
   request.prev_index = 1;
   request.prev_term = 1;
   append.body.__set_append(request);
   (void)StepLog(node, append, At(0));
-  wire::LogMessage vote = From(3, 1);
-  wire::VoteRequest ask;
-  ask.term = 50;
-  ask.last_index = 100;
-  ask.last_term = 50;
-  ask.pre = false;
-  vote.body.__set_vote(ask);
+  wire::LogMessage vote = MakeMessage(3, 1);
+  wire::VoteRequest vote_request;
+  vote_request.term = 50;
+  vote_request.last_index = 100;
+  vote_request.last_term = 50;
+  vote_request.pre = false;
+  vote.body.__set_vote(vote_request);
   (void)StepLog(node, vote, At(100));
   CHECK(node.m_hard_state.term == 2);
   (void)StepLog(node, vote, At(1000));
@@ -171,7 +172,7 @@
 }
 
 TEST_CASE("a leader without a majority's answers stops leading", "[log][quorum]") {
-  LogNode node = Node(1, {}, 2);
+  LogNode node = MakeNode(1, {}, 2);
   Elect(node, 0);
   (void)Acknowledge(node, 2, 2, 1100);
   CHECK(LeadsWithQuorum(node, At(1200)));
@@ -183,11 +184,11 @@
 }
 
 TEST_CASE("a message for another id or cluster has no effect", "[log]") {
-  LogNode node = Node(1, {}, 2);
-  wire::LogMessage vote = From(2, 99);
+  LogNode node = MakeNode(1, {}, 2);
+  wire::LogMessage vote = MakeMessage(2, 99);
   vote.body.__set_vote({});
   CHECK(StepLog(node, vote, At(0)).m_send.empty());
-  vote = From(2, 1);
+  vote = MakeMessage(2, 1);
   vote.cluster = "other";
   vote.body.__set_vote({});
   CHECK(StepLog(node, vote, At(0)).m_send.empty());
@@ -211,15 +212,15 @@
   ClusterBootstrap other{
       {"a", "b", "c"}, info("b", 2), {{"a", info("a", 1)}, {"c", info("c", 3)}}, false};
   CHECK_FALSE(BootstrapMembership(other));
-  // The member with the lowest name lost its folder; the others know a cluster.
+  // The member with the lowest name has lost its folder, and another member knows a cluster.
   RecordHello(lowest, info("c", 3), false);
   CHECK_FALSE(BootstrapMembership(lowest));
 }
 
 namespace {
 
-wire::LogEntry Answered(std::int64_t index, std::int64_t term, std::size_t bytes) {
-  wire::LogEntry entry = Noop(index, term);
+wire::LogEntry MakeDocumentEntry(std::int64_t index, std::int64_t term, std::size_t bytes) {
+  wire::LogEntry entry = MakeNoop(index, term);
   entry.command = {};
   wire::DocumentChange change;
   change.edits.assign(bytes, 'x');
@@ -227,9 +228,10 @@
   return entry;
 }
 
-/// A follower says of an append that was sent at `sent` that it lacks what is after `match`.
-LogEffects Lacks(LogNode& node, MemberId from, std::int64_t match, int sent, int at) {
-  wire::LogMessage message = From(from, node.m_id);
+/// Rejects, at time `at`, an append that was sent at `sent`: the follower lacks the entries after
+/// `match`.
+LogEffects RejectAppend(LogNode& node, MemberId from, std::int64_t match, int sent, int at) {
+  wire::LogMessage message = MakeMessage(from, node.m_id);
   wire::AppendReply reply;
   reply.term = node.m_hard_state.term;
   reply.ok = false;
@@ -241,27 +243,28 @@
 
 }  // namespace
 
-// Each late answer of a follower had all that it lacked sent to it once more.
+// Guards against sending the missing entries again for every late reply that rejects an append
+// which was sent before the entries.
 TEST_CASE("what a follower lacks is sent once for all answers to appends before that",
           "[log][append]") {
-  LogNode node = Node(1, {Answered(2, 2, 5000)}, 3);
+  LogNode node = MakeNode(1, {MakeDocumentEntry(2, 2, 5000)}, 3);
   Elect(node, 0);
-  const LogEffects first = Lacks(node, 2, 1, 1010, 1100);
+  const LogEffects first = RejectAppend(node, 2, 1, 1010, 1100);
   REQUIRE(first.m_send.size() == 1);
   CHECK(first.m_send[0].body.append.entries.size() == 2);
   for (const int sent : {1020, 1040, 1060, 1080})
-    CHECK(Lacks(node, 2, 1, sent, sent + 100).m_send.empty());
-  // An append of later says that they didn't come: the connection was lost.
-  CHECK(Lacks(node, 2, 1, 1150, 1250).m_send.size() == 1);
+    CHECK(RejectAppend(node, 2, 1, sent, sent + 100).m_send.empty());
+  // The rejection of a later append shows that the entries didn't arrive: the connection was lost.
+  CHECK(RejectAppend(node, 2, 1, 1150, 1250).m_send.size() == 1);
 }
 
 TEST_CASE("an append carries a bounded number of bytes and the rest follows", "[log][append]") {
   std::vector<wire::LogEntry> entries;
   for (std::int64_t index = 2; index < 12; ++index)
-    entries.push_back(Answered(index, 2, 30'000));
-  LogNode node = Node(1, entries, 3);
+    entries.push_back(MakeDocumentEntry(index, 2, 30'000));
+  LogNode node = MakeNode(1, entries, 3);
   Elect(node, 0);
-  const LogEffects first = Lacks(node, 2, 1, 1010, 1100);
+  const LogEffects first = RejectAppend(node, 2, 1, 1010, 1100);
   REQUIRE(first.m_send.size() == 1);
   CHECK(first.m_send[0].body.append.entries.size() == 3);
   const LogEffects second = Acknowledge(node, 2, 4, 1200);
--- a/tests/log_schedule_test.cc
+++ b/tests/log_schedule_test.cc
@@ -14,9 +14,9 @@
   std::int64_t m_acknowledged = 0;
   int m_leaders = 0;
   int m_crashes = 0;
-  int m_blanks = 0;
+  int m_lost_folders = 0;
   int m_snapshots = 0;
-  std::string m_first;
+  std::string m_first_violation;
 };
 
 Totals RunMany(ScheduleSpec spec, int count) {
@@ -26,13 +26,14 @@
     const ScheduleReport report = RunSchedule(spec);
     if (!report.m_violations.empty()) {
       ++totals.m_failed;
-      if (totals.m_first.empty())
-        totals.m_first = "seed " + std::to_string(spec.m_seed) + ": " + report.m_violations.front();
+      if (totals.m_first_violation.empty())
+        totals.m_first_violation =
+            "seed " + std::to_string(spec.m_seed) + ": " + report.m_violations.front();
     }
     totals.m_acknowledged += report.m_acknowledged;
     totals.m_leaders += report.m_leaders;
     totals.m_crashes += report.m_crashes;
-    totals.m_blanks += report.m_blanks;
+    totals.m_lost_folders += report.m_lost_folders;
     totals.m_snapshots += report.m_snapshots_installed;
   }
   return totals;
@@ -43,13 +44,13 @@
 TEST_CASE("acknowledged entries survive crashes, cuts, freezes, lost folders and lost messages",
           "[log][schedule]") {
   const Totals totals = RunMany({}, 400);
-  INFO(totals.m_first);
+  INFO(totals.m_first_violation);
   CHECK(totals.m_failed == 0);
-  // The schedules do cause what they are meant to cause.
+  // The schedules must really inject their faults.
   CHECK(totals.m_acknowledged > 10'000);
   CHECK(totals.m_leaders > 800);
   CHECK(totals.m_crashes > 1'000);
-  CHECK(totals.m_blanks > 100);
+  CHECK(totals.m_lost_folders > 100);
   CHECK(totals.m_snapshots > 50);
 }
 
@@ -57,17 +58,18 @@
   ScheduleSpec spec;
   spec.m_members = 5;
   const Totals totals = RunMany(spec, 100);
-  INFO(totals.m_first);
+  INFO(totals.m_first_violation);
   CHECK(totals.m_failed == 0);
 }
 
-// Guards against answers, votes or commits that rest on entries whose save has not ended.
+// Guards against replies, votes or commits that depend on entries whose save has not ended. A crash
+// during the save then loses what other members rely on.
 TEST_CASE("saves that take long beside the log's work lose no acknowledged entry",
           "[log][schedule]") {
   ScheduleSpec spec;
   spec.m_save_steps = GENERATE(3, 20, 60);  // Up to 20, 190 and 590 ms.
   const Totals totals = RunMany(spec, 200);
-  INFO(totals.m_first);
+  INFO(totals.m_first_violation);
   CHECK(totals.m_failed == 0);
   CHECK(totals.m_acknowledged > 500);
   CHECK(totals.m_snapshots > 10);
@@ -85,9 +87,9 @@
 TEST_CASE("a harsh network loses no acknowledged entry", "[log][schedule]") {
   ScheduleSpec spec;
   spec.m_drop = 0.25;
-  spec.m_cut = 0.03;
+  spec.m_disconnect = 0.03;
   const Totals totals = RunMany(spec, 100);
-  INFO(totals.m_first);
+  INFO(totals.m_first_violation);
   CHECK(totals.m_failed == 0);
 }
 
@@ -95,7 +97,7 @@
           "[log][schedule][teeth]") {
   ScheduleSpec spec;
   spec.m_keep_id_when_blank = true;
-  spec.m_blank = 0.03;
+  spec.m_lose_folder = 0.03;
   CHECK(RunMany(spec, 100).m_failed > 0);
 }
 
--- a/tests/log_store_test.cc
+++ b/tests/log_store_test.cc
@@ -22,7 +22,7 @@
   return entry;
 }
 
-/// Writes entries 1 to `count`, each with a sync of its own.
+/// Writes entries 1 to `count`, each with its own sync.
 void WriteEntries(const std::string& folder, int count, FileOps ops = SystemFileOps()) {
   StoredLog stored;
   auto store = LogStore::Open(folder, "c", 7, stored, ops);
@@ -38,7 +38,7 @@
   }
 }
 
-std::string SegmentOf(const std::string& folder) {
+std::string SegmentPath(const std::string& folder) {
   for (const auto& entry : fs::directory_iterator(folder)) {
     if (entry.path().filename().string().starts_with("segment-"))
       return entry.path().string();
@@ -71,12 +71,12 @@
 TEST_CASE("a torn end is cut and what was synced before stays", "[log][store]") {
   const TemporaryFolder folder;
   WriteEntries(folder.path(), 20);
-  const std::string segment = SegmentOf(folder.path());
-  const auto whole = fs::file_size(segment);
+  const std::string segment = SegmentPath(folder.path());
+  const auto full_size = fs::file_size(segment);
   for (const std::uintmax_t cut : {1, 5, 9, 17, 30}) {
-    fs::resize_file(segment, whole);
+    fs::resize_file(segment, full_size);
     WriteEntries(folder.path(), 0);
-    fs::resize_file(segment, whole - cut);
+    fs::resize_file(segment, full_size - cut);
     const auto stored = Reopen(folder.path());
     REQUIRE(stored);
     CHECK(stored->m_entries.size() >= 19);
@@ -88,9 +88,9 @@
 TEST_CASE("a torn end of zeros is cut", "[log][store]") {
   const TemporaryFolder folder;
   WriteEntries(folder.path(), 5);
-  const std::string segment = SegmentOf(folder.path());
-  const auto whole = fs::file_size(segment);
-  fs::resize_file(segment, whole + 4096);  // Grown, but its blocks never reached the disk.
+  const std::string segment = SegmentPath(folder.path());
+  const auto full_size = fs::file_size(segment);
+  fs::resize_file(segment, full_size + 4096);  // The file grew, but its blocks were never written.
   const auto stored = Reopen(folder.path());
   REQUIRE(stored);
   CHECK(stored->m_entries.size() == 5);
@@ -101,7 +101,7 @@
           "[log][store]") {
   const TemporaryFolder folder;
   WriteEntries(folder.path(), 10);
-  const std::string segment = SegmentOf(folder.path());
+  const std::string segment = SegmentPath(folder.path());
   const auto size = static_cast<std::streamoff>(fs::file_size(segment));
   for (std::streamoff at = 0; at < size; ++at) {
     std::fstream file(segment, std::ios::in | std::ios::out | std::ios::binary);
@@ -111,7 +111,8 @@
     file.put(static_cast<char>(before ^ 0x10));
     file.close();
     const auto stored = Reopen(folder.path());
-    // The very last byte is the end mark: losing it alone looks like a torn end.
+    // The last byte is the end mark. If only this byte is damaged, the record looks like a torn
+    // end.
     const bool caught = !stored || (at == size - 1);
     if (!caught || (!stored && stored.error().m_code != ResultCode::kDataDamaged))
       FAIL("bit at offset " << at << " went unnoticed");
@@ -127,9 +128,9 @@
           "[log][store]") {
   const TemporaryFolder folder;
   FileOps ops = SystemFileOps();
-  auto armed = std::make_shared<bool>(false);
-  const FileOps real = SystemFileOps();
-  ops.m_sync = [=](int fd) { return !*armed && real.m_sync(fd); };
+  auto failing = std::make_shared<bool>(false);
+  const FileOps system = SystemFileOps();
+  ops.m_sync = [=](int fd) { return !*failing && system.m_sync(fd); };
   StoredLog stored;
   auto store = LogStore::Open(folder.path(), "c", 7, stored, ops);
   REQUIRE(store);
@@ -137,22 +138,23 @@
   LogEffects effects;
   effects.m_append.push_back(Entry(1));
   REQUIRE((*store)->Save(node, effects));
-  *armed = true;
+  *failing = true;
   CHECK((*store)->Save(node, effects).error().m_code == ResultCode::kDiskFailed);
-  *armed = false;  // What failed once may be half there.
+  *failing = false;  // The failed save may be partly on the disk.
   CHECK((*store)->Save(node, effects).error().m_code == ResultCode::kDiskFailed);
 }
 
 TEST_CASE("what a full disk refuses leaves nothing behind and can be saved later", "[log][store]") {
-  const std::size_t room = GENERATE(0, 1, 17, 60);  // Bytes that are written before it is full.
+  // The number of bytes that are written before the disk is full.
+  const std::size_t free_bytes = GENERATE(0, 1, 17, 60);
   const TemporaryFolder folder;
   FileOps ops = SystemFileOps();
   auto full = std::make_shared<bool>(false);
-  const FileOps real = SystemFileOps();
+  const FileOps system = SystemFileOps();
   ops.m_write = [=](int fd, std::string_view bytes) {
     if (!*full)
-      return real.m_write(fd, bytes);
-    (void)real.m_write(fd, bytes.substr(0, room));
+      return system.m_write(fd, bytes);
+    (void)system.m_write(fd, bytes.substr(0, free_bytes));
     return false;
   };
   StoredLog stored;
@@ -177,7 +179,8 @@
   CHECK(again.m_entries.size() == 4);
 }
 
-// Guards against a log whose entries stand at other places in memory than their indexes say.
+// Guards against entries in memory whose positions don't match their indexes. A segment holds an
+// entry twice if it was saved after a new segment had included it.
 TEST_CASE("an entry that was saved twice is read once", "[log][store]") {
   const TemporaryFolder folder;
   {
@@ -193,7 +196,7 @@
     }
     REQUIRE((*store)->SaveSnapshot(node, CompactLog(node, 3, "state")));
     effects.m_append.erase(effects.m_append.begin(), effects.m_append.begin() + 4);
-    REQUIRE((*store)->Save(node, effects));  // The segment holds entry 5 already.
+    REQUIRE((*store)->Save(node, effects));  // The new segment holds entry 5 already.
   }
   const auto reopened = Reopen(folder.path());
   REQUIRE(reopened);
