--- a/packages/wire/include/poppyway/wire.h
+++ b/packages/wire/include/poppyway/wire.h
@@ -3,13 +3,14 @@
 #pragma once
 
 /// \file
-/// \brief How poppyway's own processes talk: Thrift messages in length-prefixed frames over TCP,
-/// and the task loop that owns sockets and timers.
+/// \brief Communication between poppyway's own processes: Thrift messages in length-prefixed frames
+/// over TCP, and the event loop that owns sockets and timers.
 ///
-/// \detail A task is one thread with one `EventLoop`. Every object here except `Mailbox::Send` and
-/// `EventLoop::Stop` belongs to its loop's thread. Messages are the structs of poppyway.thrift; the
-/// generated code is committed. A frame is a 4-byte big-endian length and a Thrift compact-protocol
-/// `Envelope`; larger than `kMaxFrameBytes` or undecodable closes the connection.
+/// \detail A task is one thread with one `EventLoop`. Every object here is used on its
+/// loop's thread only; `Mailbox::Send` and `EventLoop::Stop` may be called on any thread. Messages
+/// are the structs of poppyway.thrift; the generated code is committed. A frame is a 4-byte
+/// big-endian length and a Thrift compact-protocol `Envelope`. A frame that is larger than
+/// `kMaxFrameBytes` or can't be decoded closes the connection.
 
 #include "poppyway/wire/impl/blocking_client.h"
 #include "poppyway/wire/impl/codec.h"
--- a/packages/wire/include/poppyway/wire/impl/blocking_client.h
+++ b/packages/wire/include/poppyway/wire/impl/blocking_client.h
@@ -9,8 +9,11 @@
 
 namespace poppyway {
 
-/// \brief One blocking call for command-line programs: connects, sends, waits for the reply.
-/// \return the reply's body, `kPeerUnreachable`, or the peer's `ErrorReply` as an `Error`.
+/// \brief Makes one blocking call, for command-line programs: connects, sends `body` and waits for
+/// the reply. The timeout applies to each socket operation. Thread-safe.
+/// \param address an IPv4 address.
+/// \return the reply's body, `kPeerUnreachable`, `kPeerProtocol` for a malformed reply, or the
+/// peer's `ErrorReply` as an `Error`.
 [[nodiscard]] Result<wire::Body> CallOnce(const std::string& address,
                                           std::uint16_t port,
                                           wire::Body body,
--- a/packages/wire/include/poppyway/wire/impl/codec.h
+++ b/packages/wire/include/poppyway/wire/impl/codec.h
@@ -16,7 +16,7 @@
 
 namespace poppyway {
 
-/// \brief Largest accepted frame; a snapshot has to fit.
+/// \brief The largest accepted frame, header excluded; a snapshot has to fit.
 inline constexpr std::size_t kMaxFrameBytes = 64u << 20;
 
 /// \brief Serialises any Thrift struct with the compact protocol.
@@ -28,19 +28,19 @@
   return buffer->getBufferAsString();
 }
 
-/// \brief The inverse of `Serialize`.
-/// \return `kPeerProtocol` if `bytes` is not a whole value of type T.
+/// \brief Reads a value that `Serialize` wrote.
+/// \return `kPeerProtocol` if `bytes` is not exactly one value of type T.
 template <typename T>
 [[nodiscard]] Result<T> Deserialize(std::string_view bytes) {
   using apache::thrift::transport::TMemoryBuffer;
   auto buffer = std::make_shared<TMemoryBuffer>(
       reinterpret_cast<std::uint8_t*>(const_cast<char*>(bytes.data())),
       static_cast<std::uint32_t>(bytes.size()));
-  // Each element takes a byte at least. Without this bound a few bytes that claim a billion
-  // elements would have the reader ask for as much memory before it finds that they aren't there.
-  const auto most = static_cast<std::int32_t>(
+  // Each element takes at least one byte. Without this bound, a few bytes that claim a billion
+  // elements would make the reader allocate memory for all of them before it finds them missing.
+  const auto max_elements = static_cast<std::int32_t>(
       std::clamp<std::size_t>(bytes.size(), 1, std::numeric_limits<std::int32_t>::max()));
-  apache::thrift::protocol::TCompactProtocol protocol(buffer, most, most);
+  apache::thrift::protocol::TCompactProtocol protocol(buffer, max_elements, max_elements);
   T value;
   try {
     value.read(&protocol);
@@ -52,17 +52,18 @@
   return value;
 }
 
-/// \brief One frame: length and serialised envelope.
+/// \brief Returns a frame: the length and the serialised envelope.
 [[nodiscard]] std::string EncodeFrame(const wire::Envelope& envelope);
 
-/// \brief What `NextFrame` found at the front of a buffer.
+/// \brief A frame at the front of a buffer. The view is valid as long as the buffer.
 struct FrameView {
   std::string_view m_payload;
-  std::size_t m_consumed = 0;  ///< Bytes to drop, header included.
+  std::size_t m_consumed = 0;  ///< The bytes to drop, header included.
 };
 
-/// \brief The first whole frame in `bytes`; nullopt if more bytes are needed.
-/// \return `kPeerProtocol` if the length is over the limit.
+/// \brief Finds the first complete frame in `bytes`.
+/// \return the frame, nullopt if more bytes are needed, or `kPeerProtocol` if the length is over
+/// the limit.
 [[nodiscard]] Result<std::optional<FrameView>> NextFrame(std::string_view bytes);
 
 }  // namespace poppyway
--- a/packages/wire/include/poppyway/wire/impl/event_loop.h
+++ b/packages/wire/include/poppyway/wire/impl/event_loop.h
@@ -8,10 +8,11 @@
 
 namespace poppyway {
 
-/// \brief The event loop of one task. Create, run and destroy on one thread; `Stop` from any.
+/// \brief The event loop of one task. It is created, run and destroyed on one thread; only `Stop`
+/// may be called on any thread.
 ///
-/// The HTTP library recycles socket buffers by the thread that made the socket: a loop that is made
-/// on one thread and run on another corrupts them.
+/// The HTTP library recycles socket buffers by the thread that created the socket, so a loop that
+/// is created on one thread and run on another corrupts them.
 class EventLoop {
  public:
   EventLoop();
@@ -19,10 +20,11 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  /// Runs until `Stop`.
+  /// Runs until `Stop` is called.
   void Run();
-  /// Runs for about `millis`, for tests and short-lived programs.
+  /// Runs for about `millis` milliseconds or until `Stop`, for tests and short-lived programs.
   void RunFor(int millis);
+  /// Makes `Run` return. Thread-safe.
   void Stop() noexcept;
 
   [[nodiscard]] h2o_loop_t* loop() const noexcept { return m_loop; }
--- a/packages/wire/include/poppyway/wire/impl/mailbox.h
+++ b/packages/wire/include/poppyway/wire/impl/mailbox.h
@@ -9,14 +9,14 @@
 
 namespace poppyway {
 
-/// \brief A task's inbox of messages of type M. `Send` from any thread; the handler runs on the
-/// loop's thread, in the order of sending from each sender.
+/// \brief A task's queue of incoming messages of type M. `Send` is thread-safe. The handler runs on
+/// the loop's thread and receives the messages of each sending thread in the order of sending.
 template <typename M>
 class Mailbox {
  public:
   using Handler = std::function<void(M)>;
 
-  /// Precondition: `loop` outlives the mailbox and every `Send`.
+  /// Precondition: `loop` outlives the mailbox and every call of `Send`.
   Mailbox(EventLoop& loop, Handler handler) : m_handler(std::move(handler)) {
     m_receiver.m_owner = this;
     h2o_multithread_register_receiver(loop.queue(), &m_receiver.m_base, &Mailbox::OnMessages);
@@ -24,6 +24,7 @@
   Mailbox(const Mailbox&) = delete;
   Mailbox& operator=(const Mailbox&) = delete;
 
+  /// Queues a message for the handler and returns at once. Thread-safe.
   void Send(M message) {
     Node* node = new Node{{}, std::move(message)};
     node->m_base.link = {};
--- a/packages/wire/include/poppyway/wire/impl/packed.h
+++ b/packages/wire/include/poppyway/wire/impl/packed.h
@@ -9,12 +9,13 @@
 
 namespace poppyway {
 
-/// \brief The bytes compressed (zlib). The same bytes give the same result.
+/// \brief Compresses bytes with zlib. The result depends on the bytes alone. Thread-safe.
 [[nodiscard]] std::string Pack(std::string_view bytes);
 
-/// \brief The inverse of `Pack`.
-/// \param most bytes that the result may have; no more memory is taken.
-/// \return `kPeerProtocol` if `packed` isn't whole, has trailing bytes, or holds more.
-[[nodiscard]] Result<std::string> Unpack(std::string_view packed, std::size_t most);
+/// \brief Decompresses what `Pack` returned. Thread-safe.
+/// \param max_bytes the largest accepted size of the result, which also bounds the memory used.
+/// \return the bytes, or `kPeerProtocol` if `packed` is incomplete, has trailing bytes, or
+/// holds more than the accepted size.
+[[nodiscard]] Result<std::string> Unpack(std::string_view packed, std::size_t max_bytes);
 
 }  // namespace poppyway
--- a/packages/wire/include/poppyway/wire/impl/peer_client.h
+++ b/packages/wire/include/poppyway/wire/impl/peer_client.h
@@ -9,32 +9,39 @@
 
 namespace poppyway {
 
-/// \brief Calls to one peer endpoint; connects on demand. Belongs to its loop's thread.
+/// \brief Sends calls to one peer endpoint and connects on demand. Used on its loop's thread only.
 class PeerClient {
  public:
   using OnReply = std::function<void(Result<wire::Body>)>;
 
+  /// \param address an IPv4 address.
   PeerClient(EventLoop& loop, std::string address, std::uint16_t port);
+  /// Closes the connection. Open calls get no reply.
   ~PeerClient();
 
-  /// Sends `body` and calls `on_reply` exactly once: with the reply, or with `kPeerUnreachable` on
-  /// connection loss or after `timeout`. A lost call may have had its effect.
+  /// Sends `body` and calls `on_reply` once: with the reply; with `kPeerUnreachable` on connection
+  /// loss or after `timeout`; or with `kPeerProtocol` after a malformed message. The peer may have
+  /// executed a call that failed.
   void Call(wire::Body body, Duration timeout, OnReply on_reply);
-  /// Sends without awaiting a reply; dropped if there is no connection yet and none can be made.
+  /// Sends `body` without waiting for a reply. The message is dropped if no connection can be
+  /// opened or too many messages wait for one.
   void Notify(wire::Body body);
-  /// Called with messages that answer no call.
+  /// Sets the function that receives messages which reply to no open call.
   void SetOnPush(std::function<void(wire::Body)> on_push) { m_on_push = std::move(on_push); }
-  /// Called when an open connection was lost.
+  /// Sets the function that is called when an open connection is lost.
   void SetOnLost(std::function<void()> on_lost) { m_on_lost = std::move(on_lost); }
-  /// When the peer last sent anything; zero: never.
+  /// Returns when the last message from the peer arrived; zero: never.
   [[nodiscard]] Instant last_message_time() const noexcept { return m_last_message_time; }
+  /// Returns the bytes sent on all connections so far.
   [[nodiscard]] std::uint64_t bytes_sent() const noexcept;
-  /// When bytes last arrived on the present connection, whole message or not; zero: never.
+  /// Returns when bytes last arrived on the current connection, even if the message is incomplete;
+  /// zero: never.
   [[nodiscard]] Instant last_receive_time() const noexcept;
+  /// Returns the send queue of the current connection.
   [[nodiscard]] SendQueueStats queue_stats() const noexcept;
 
  private:
-  struct Waiting {
+  struct PendingCall {
     OnReply m_on_reply;
     Instant m_expires;
   };
@@ -42,9 +49,9 @@
   void Connect();
   void Post(wire::Envelope envelope);
   void FailAll(const Error& why);
-  /// Returns whether calls still wait.
+  /// Fails calls and connection attempts that have timed out. Returns true while any is open.
   bool ExpireCalls();
-  /// Gives up a connection attempt that hangs, so that the next message tries anew.
+  /// Aborts a connection attempt that has timed out, so that the next message starts a new one.
   void ExpireConnect(Instant now);
 
   EventLoop& m_loop;
@@ -53,13 +60,13 @@
   h2o_socket_t* m_connecting = nullptr;
   Instant m_connect_expires{};
   std::shared_ptr<PeerConnection> m_connection;
-  std::vector<wire::Envelope> m_backlog;
-  std::map<std::int64_t, Waiting> m_waiting;
+  std::vector<wire::Envelope> m_unsent;  ///< Messages to send once connected.
+  std::map<std::int64_t, PendingCall> m_pending_calls;
   std::function<void(wire::Body)> m_on_push;
   std::function<void()> m_on_lost;
   std::int64_t m_next_id = 1;
   Instant m_last_message_time{};
-  std::uint64_t m_closed_bytes = 0;
+  std::uint64_t m_closed_bytes = 0;  ///< The bytes sent on connections that are closed.
   RepeatingTimer m_expiry;
 };
 
--- a/packages/wire/include/poppyway/wire/impl/repeating_timer.h
+++ b/packages/wire/include/poppyway/wire/impl/repeating_timer.h
@@ -8,17 +8,18 @@
 
 namespace poppyway {
 
-/// \brief Calls a function again and again on the loop's thread until destroyed.
+/// \brief Calls a function periodically on the loop's thread until the timer is destroyed.
 ///
-/// The function says whether its task is busy: then it is called again after the short interval,
-/// else after the long one, so that an idle process costs next to nothing.
+/// The function returns whether its task is busy. A busy task is called again after the short
+/// interval, an idle one after the long interval, so that an idle process uses almost no CPU time.
 class RepeatingTimer {
  public:
+  /// Starts the timer with the short interval.
   RepeatingTimer(EventLoop& loop,
                  std::uint64_t busy_millis,
                  std::uint64_t idle_millis,
                  std::function<bool()> on_tick);
-  /// The same interval always.
+  /// Starts a timer that always uses the same interval.
   RepeatingTimer(EventLoop& loop, std::uint64_t millis, std::function<void()> on_tick);
   ~RepeatingTimer();
   RepeatingTimer(const RepeatingTimer&) = delete;
--- a/packages/wire/poppyway.thrift
+++ b/packages/wire/poppyway.thrift
@@ -1,54 +1,59 @@
 // SPDX-License-Identifier: MIT
-// Messages between poppyway's own processes. Generated code is committed in gen/.
+// Messages between poppyway's own processes. The generated code is committed in gen/.
 namespace cpp poppyway.wire
 
-// ---- Hosted deployments: the operator's document and the backend servers that register ------------
-// One whole configuration; the highest version wins.
+// ---- Hosted deployments: the operator's document and the backend servers that register ----------
+// One complete configuration; the highest version wins.
 struct Document { 1: i64 version; 2: binary body }
-// How one text becomes another: for each edit, `length` bytes of the base at `offset`, then `own`.
+// An edit of a text. The result is, for each edit in turn, `length` bytes of the base text at
+// `offset` followed by the bytes of `own`.
 struct TextEdit { 1: i64 offset; 2: i64 length; 3: binary own }
 struct TextEdits { 1: list<TextEdit> edits }
-// The step from one version of the document to a later one. `edits` are packed `TextEdits`; base 0 is
-// the empty text, so that such a step is the whole document. `digest` is of the text after it.
-// `bytes` are those of the edits, also where these are left out to be fetched piece by piece.
+// The step from one version of the document to a later one. `edits` holds compressed `TextEdits`.
+// Base 0 is the empty text, so a step from it holds the complete document. `digest` is the digest
+// of the text after the step. `bytes` is the size of the edits, even if they are omitted here and
+// fetched in pieces.
 struct DocumentChange { 1: i64 base; 2: i64 version; 3: i64 digest; 4: binary edits; 5: i64 bytes }
 enum ServerStage { READY = 0, LEAVING = 1, GONE = 2 }
-// One life of a backend server. `sequence` orders its own calls; `index` is the log index of the
-// last change.
+// A process of a backend server. `sequence` orders the heartbeats of the process; `index` is the
+// log index of the last change.
 struct ServerRecord {
   1: string id; 2: string pool; 3: string address; 4: i32 port; 5: string data_centre;
   6: i32 slots; 7: ServerStage stage; 8: i64 sequence; 9: i64 index;
-  // Of its software; a roll-out tells servers apart by it.
+  // The version of its software, by which a rollout distinguishes servers.
   10: string version;
-  // Of the version that a roll-out under way keeps from ordinary work.
+  // Set while a rollout in progress withholds ordinary work from its version.
   11: bool held_back
-  // Unix milliseconds of the start of this life; zero: not told. A server may start again under its
-  // id; the later birth is the server that is there now.
+  // The process start time in Unix milliseconds; zero: not reported. A server may restart under the
+  // same id; the process with the later start time is the current one.
   12: i64 born;
-  // How much longer the server is cold (slow after its start) when it last said so; zero: warm.
+  // How much longer the server is cold (slow after its start), as of its last report; zero: warm.
   13: i32 cold_for_ms
 }
 
-// ---- Evacuations: a data centre whose servers get no new work -------------------------------------
-// `known` is the number of the data centre's last order that was known where this one was taken. One
-// that comes late to the leader, after others, must not undo them. Not set: the leader sets it.
+// ---- Evacuations: the servers of a data centre get no new work ----------------------------------
+// `known` is the number of the data centre's last order that the instance knew when it accepted
+// this one, so that an order which reaches the leader late doesn't undo later ones. Not set: the
+// leader sets it.
 struct EvacuationOrder { 1: string data_centre; 2: bool ends; 3: optional i64 known }
-// `number` counts the orders of a deployment that changed something; `index` is the log index of this
-// one. The last one of each data centre is kept, ended or not.
+// `number` counts the orders of a deployment that had an effect; `index` is the log index of this
+// order. The last order of each data centre is kept, whether it has ended or not.
 struct Evacuation { 1: string data_centre; 2: i64 number; 3: bool ended; 4: i64 index }
 
-// ---- Roll-outs: a pool's work moves to servers of another version --------------------------------
-// TRIAL: the target version gets a bounded share. MOVING: it was found good, and gets all new work.
+// ---- Rollouts: a pool's work moves to servers of another version --------------------------------
+// TRIAL: the target version gets a bounded share of the work. MOVING: the trial succeeded, and the
+// target version gets all new work.
 enum RolloutStage { TRIAL = 0, MOVING = 1, COMPLETED = 2, ROLLED_BACK = 3 }
 struct RolloutOrder { 1: string pool; 2: string target; 3: i64 duration_ms }
-// `number` tells the roll-outs of a deployment apart. `left_ms` is the time to the deadline when the
-// leader last said so; `requests` those to the pool since the order by then; `allowed` how many of
-// them the target version may have got.
+// `number` identifies the rollout within a deployment. As of the leader's last report, `left_ms` is
+// the time until the deadline, `requests` the number of requests to the pool since the order, and
+// `allowed` how many of these the target version was allowed to get.
 struct Rollout {
   1: string pool; 2: string target; 3: i64 number; 4: i64 duration_ms; 5: RolloutStage stage;
   6: i64 left_ms; 7: i64 requests; 8: i64 allowed; 9: string why
 }
-// A decision of the leader on the roll-out of that number; refused once that one has ended.
+// A decision of the leader on the rollout with that number; it is rejected if that rollout has
+// ended.
 struct RolloutStep {
   1: string pool; 2: i64 number; 3: RolloutStage stage; 4: i64 left_ms; 5: i64 requests;
   6: i64 allowed; 7: string why
@@ -66,12 +71,12 @@
 struct ConfigDelta {
   1: i64 from_version; 2: i64 to_version; 3: bool whole;
   4: list<ObjectText> upserts; 5: list<ObjectKey> removals;
-  // In hosted deployments the operator's document: one step after the other. The last one may come
-  // without its edits, where they are large: they are fetched in pieces.
+  // Hosted deployments: the steps of the operator's document in order. The last step may omit its
+  // edits if they are large; they are then fetched in pieces.
   13: list<DocumentChange> steps; 7: list<ServerRecord> servers; 8: i64 servers_index;
-  // The leader that the member follows; term 0: it knows none.
+  // The leader that the member follows; term 0: it knows no leader.
   9: i64 leader_term; 10: string leader_address; 11: i32 leader_port;
-  // All that were ordered, with every answer; few, and mostly none.
+  // Every reply holds all ordered evacuations, since there are few and mostly none.
   12: list<Evacuation> evacuations
 }
 struct HistoryRow { 1: i64 version; 2: string change_id; 3: string author; 4: i32 upserts; 5: i32 removals }
@@ -97,7 +102,7 @@
 // ---- Replicated log ------------------------------------------------------------------------
 struct MemberInfo {
   1: i64 id; 2: string name; 3: string address; 4: i32 port; 5: bool voter;
-  6: string data_centre  // Readers of news prefer a member of their own.
+  6: string data_centre  // Instances prefer to poll a member in their own data centre.
 }
 struct Membership { 1: list<MemberInfo> members }
 union Command {
@@ -115,7 +120,7 @@
 struct VoteReply { 1: i64 term; 2: bool granted; 3: bool pre }
 struct AppendRequest {
   1: i64 term; 2: i64 prev_index; 3: i64 prev_term; 4: list<LogEntry> entries; 5: i64 commit;
-  6: i64 sent_us  // The leader's clock; a reply returns it.
+  6: i64 sent_us  // The leader's clock at sending; the reply returns it.
 }
 struct AppendReply { 1: i64 term; 2: bool ok; 3: i64 match; 4: i64 sent_us }
 struct SnapshotRequest { 1: i64 term; 2: Snapshot snapshot }
@@ -125,7 +130,7 @@
 }
 struct LogMessage { 1: i64 from_id; 2: i64 to_id; 3: LogBody body; 4: string cluster; 5: string from_name }
 
-// A blank member asks who is there; members answer with what they know.
+// A blank member sends Hello to find a cluster; the other members reply with what they know of one.
 struct Hello { 1: string cluster; 2: MemberInfo member; 3: bool blank }
 struct HelloReply { 1: MemberInfo member; 2: bool blank; 3: i64 leader_id; 4: list<MemberInfo> members }
 
@@ -148,23 +153,24 @@
 struct Heartbeat {
   1: string instance; 2: string incarnation; 3: string address; 4: i32 port; 5: string data_centre;
   6: i64 version_in_force; 7: bool ready; 8: bool stopping; 9: string http; 10: i64 leases_seen;
-  11: i64 members_seen  // Digest of the members as the leader last listed them.
+  11: i64 members_seen  // The digest of the last member list from the leader.
 }
 struct HeartbeatReply { 1: list<LeaseGrant> leases; 2: i64 version; 3: i64 leader_term; 4: i32 live; 5: i64 leases_index; 6: bool leases_same;
   7: list<MemberInfo> members; 8: i64 document_version; 9: i64 servers_index;
-  10: i64 members_digest  // The list itself goes only to who has another one.
+  10: i64 members_digest  // `members` is sent only to an instance whose list differs.
 }
 struct Propose { 1: list<Command> commands }
 union CommandResult { 1: ConfigOutcome config; 2: ClaimResult claim; 3: bool done; 4: RolloutVerdict rollout }
 struct ProposeReply { 1: list<CommandResult> results }
-// What a poll of a hosted deployment asks for: servers, evacuations and the leader's name, or the
-// document.
+// What a poll in a hosted deployment requests. SERVERS: the servers, the evacuations and the
+// leader's address. DOCUMENT: the operator's document.
 enum NewsKind { SERVERS = 0, DOCUMENT = 1 }
 struct ConfigPoll {
   1: i64 have_version; 2: i64 wait_ms; 3: i64 have_document; 4: i64 have_servers; 5: bool hosted;
   6: i64 have_term; 7: NewsKind kind
 }
-// A part of a step's edits, from `offset` on; an answer without bytes: that step isn't kept (any more).
+// Requests a piece of a step's edits, starting at `offset`. A reply without bytes means that the
+// member doesn't keep that step, or no longer does.
 struct PieceRequest { 1: i64 base; 2: i64 version; 3: i64 offset }
 struct Piece { 1: binary bytes }
 
@@ -187,38 +193,42 @@
   10: list<i32> backlog; 11: i64 lease_ms; 12: i64 sequence; 13: bool not_broker
 }
 
-// ---- Places: what instances of hosted deployments ask of the one broker -----------------------
+// ---- Slots ("places" here): requests of hosted instances to the broker ------------------------
 struct PromptPart { 1: i64 id; 2: i32 tokens }
-// One request that wants a place at a backend server now. `ref` is the instance's own name for it.
+// A request that needs a slot at a backend server now. `ref` is the instance's own identifier for
+// it.
 struct PlaceAsk {
   1: i64 ref; 2: string pool; 3: string workspace; 4: i32 tier; 5: i32 rank; 6: i64 prompt_tokens;
   7: i64 expected_tokens; 8: i32 aim_ms; 9: i32 waited_ms; 10: i32 left_ms; 11: i32 pause_aim_ms;
   12: i32 wait_ms; 13: list<PromptPart> parts; 14: list<string> tried; 15: double cost;
   16: double reserve; 17: double limit_rate; 18: double limit_burst; 19: i64 route;
-  // Regions that may serve it; with `bound` unset any may.
+  // The regions that may serve the request; they apply only if `bound` is set.
   20: list<string> regions; 21: bool bound
 }
-// A place that an instance holds without the broker's word, or from before its time.
+// A slot that an instance took without a broker, or that an earlier broker granted.
 struct PlaceHeld {
   1: i64 ref; 2: string server; 3: i64 reading_tokens; 4: i64 expected_tokens;
-  5: i64 born  // Of the server, when the place was taken.
+  5: i64 born  // The process start time of the server when the slot was taken.
 }
 enum PlaceSign { NONE = 0, GOOD = 1, BAD = 2, UNREACHABLE = 3 }
-// What a request met at its place. `ran`: the server may have run it.
+// The outcome of a request at its slot. `ran`: the server may have run it.
 struct PlaceReport {
   1: i64 ref; 2: i64 tokens_read; 3: i32 first_ms; 4: bool ended; 5: bool ran; 6: PlaceSign sign;
   7: i32 service_ms; 8: i64 events; 9: i32 span_ms; 10: i32 pause_ms; 11: bool failed;
-  12: i32 connect_us  // A new connection took so long to come up; zero: none was opened.
+  12: i32 connect_us  // The time to open a new connection; zero: none was opened.
 }
-// What was left of a workspace's limit when a broker last said so, and what was spent since without one.
+// The rest of a workspace's quota as a broker last reported it, and what the instance has charged
+// to it since without a broker.
 struct LimitUse {
   1: string workspace; 2: double left; 3: i32 age_ms; 4: double spent_alone; 5: double rate;
-  6: double burst; 7: i64 epoch  // Of the broker that said it.
+  6: double burst; 7: i64 epoch  // The epoch of the broker that reported `left`.
 }
-// What a server said of itself in an answer to the instance. `back_off_ms`: it wants nothing from that
-// instance for so long, from now on; zero: it didn't ask. `leaving`: it is about to end.
+// A server notice: what a server announced in a response to the instance. `back_off_ms`: the server
+// asks that instance to send no requests for this long from now on; zero: no backoff. `leaving`:
+// the server is about to stop.
 struct ServerWord { 1: string server; 2: i64 born; 3: i32 back_off_ms; 4: bool leaving }
-// From an instance. With `resync`, `held` is all that it holds and `words` all that still hold.
+// Sent by an instance. With `resync`, `held` lists all slots that it holds and `words` all server
+// notices that are still in force.
 struct PlaceBatch {
   1: string incarnation; 2: string data_centre; 3: i64 epoch; 4: bool resync; 5: i32 instances;
   6: list<PlaceHeld> held; 7: list<LimitUse> limits; 8: list<PlaceAsk> asks; 9: list<i64> withdrawn;
@@ -228,17 +238,20 @@
 struct PlaceAnswer {
   1: i64 ref; 2: PlaceVerdict verdict; 3: string server; 4: i32 first_ms; 5: double left;
   6: i32 come_back_ms;
-  // Of the server: an instance that has no news of it yet, or of an earlier life, can go there.
+  // The server's process start time and address. An instance that doesn't know the server yet, or
+  // only an earlier process of it, can send the request with these.
   7: i64 born; 8: string address; 9: i32 port
 }
 struct PlaceAnswers {
   1: i64 epoch; 2: list<PlaceAnswer> answers; 3: bool not_broker;
-  // All data centres that the broker holds to be lost or cut off; unset: no news of it.
+  // All data centres that the broker considers lost or cut off; unset: this message doesn't report
+  // them.
   4: optional list<string> suspects
 }
 
 // ---- The operator's document between members ---------------------------------------------------
-// For the steps from the version that the reader has to the newest; none, if that is the newest.
+// Requests the steps from the reader's version to the newest one; the reply is empty if the reader
+// has it.
 struct DocumentRead { 1: i64 have_version }
 struct DocumentSteps { 1: list<DocumentChange> steps }
 
@@ -248,7 +261,8 @@
   1: string instance; 2: string incarnation; 3: string data_centre; 4: i64 version_in_force;
   5: bool ready; 6: bool stopping; 7: i64 age_ms; 8: string http; 9: string address; 10: i32 port
 }
-// `running`: requests of instances in touch that are still at its servers; -1: not known here.
+// `running`: requests that connected instances still have at servers of the data centre; -1:
+// unknown here.
 struct EvacuationStatus { 1: Evacuation evacuation; 2: i32 servers; 3: i32 running }
 struct StatusReply {
   1: string instance; 2: i64 leader_id; 3: i64 term; 4: i64 commit; 5: i64 version;
--- a/packages/wire/src/blocking_client.cc
+++ b/packages/wire/src/blocking_client.cc
@@ -14,7 +14,7 @@
 
 constexpr std::size_t kReadBytes = 65536;
 
-/// Closes a descriptor at the end of its scope.
+/// Owns a file descriptor and closes it at the end of its scope.
 struct Descriptor {
   int m_fd;
   explicit Descriptor(int fd) : m_fd(fd) {}
@@ -46,10 +46,10 @@
         return tl::unexpected<Error>(envelope.error());
       return std::move(envelope->body);
     }
-    const ssize_t got = recv(fd, chunk.data(), chunk.size(), 0);
-    if (got <= 0)
-      return Fail(ResultCode::kPeerUnreachable, "no reply in time");
-    buffer.append(chunk.data(), static_cast<std::size_t>(got));
+    const ssize_t received = recv(fd, chunk.data(), chunk.size(), 0);
+    if (received <= 0)
+      return Fail(ResultCode::kPeerUnreachable, "no reply: the connection was closed or timed out");
+    buffer.append(chunk.data(), static_cast<std::size_t>(received));
   }
 }
 
@@ -65,12 +65,12 @@
   limit.tv_usec = timeout.count() % 1'000'000;
   setsockopt(connection.m_fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
   setsockopt(connection.m_fd, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof(limit));
-  sockaddr_in where{};
-  where.sin_family = AF_INET;
-  where.sin_port = htons(port);
-  inet_pton(AF_INET, address.c_str(), &where.sin_addr);
+  sockaddr_in endpoint{};
+  endpoint.sin_family = AF_INET;
+  endpoint.sin_port = htons(port);
+  inet_pton(AF_INET, address.c_str(), &endpoint.sin_addr);
   const std::string target = address + ":" + std::to_string(port);
-  if (connect(connection.m_fd, reinterpret_cast<sockaddr*>(&where), sizeof(where)) != 0)
+  if (connect(connection.m_fd, reinterpret_cast<sockaddr*>(&endpoint), sizeof(endpoint)) != 0)
     return Fail(ResultCode::kPeerUnreachable, target + ": " + std::strerror(errno));
   wire::Envelope envelope;
   envelope.id = 1;
--- a/packages/wire/src/codec.cc
+++ b/packages/wire/src/codec.cc
@@ -28,7 +28,8 @@
   std::memcpy(&length, bytes.data(), kHeaderBytes);
   length = ntohl(length);
   if (length > kMaxFrameBytes)
-    return Fail(ResultCode::kPeerProtocol, "frame of " + std::to_string(length) + " bytes");
+    return Fail(ResultCode::kPeerProtocol,
+                "frame of " + std::to_string(length) + " bytes exceeds the limit");
   if (bytes.size() < kHeaderBytes + length)
     return std::nullopt;
   return FrameView{bytes.substr(kHeaderBytes, length), kHeaderBytes + length};
--- a/packages/wire/src/event_loop.cc
+++ b/packages/wire/src/event_loop.cc
@@ -5,7 +5,7 @@
 namespace poppyway {
 namespace {
 
-constexpr int kMaxWaitMillis = 1000;
+constexpr int kMaxWaitMillis = 1000;  // `Stop` and events end a wait earlier.
 
 }  // namespace
 
@@ -14,8 +14,8 @@
   h2o_multithread_register_receiver(m_queue, &m_waker, &EventLoop::OnWake);
 }
 
-// The loop itself is never freed: sockets of the library that are closing may still refer to it,
-// and a task lives as long as its process.
+// The library's loop is never freed: sockets that are being closed may still refer to it, and a
+// task exists as long as its process.
 EventLoop::~EventLoop() = default;
 
 void EventLoop::Run() {
--- a/packages/wire/src/packed.cc
+++ b/packages/wire/src/packed.cc
@@ -9,31 +9,34 @@
 namespace poppyway {
 namespace {
 
-constexpr std::size_t kFirstRoom = 4096;
-constexpr std::size_t kGrowth = 4;  // Texts pack to about an eighth.
+constexpr std::size_t kMinFirstBuffer = 4096;  // The smallest first output buffer.
+// The first output buffer as a multiple of the input. Texts compress to about an eighth, so one
+// more growth step is usually enough.
+constexpr std::size_t kExpectedRatio = 4;
 
 Bytef* BytesOf(std::string_view bytes) noexcept {
   return reinterpret_cast<Bytef*>(const_cast<char*>(bytes.data()));
 }
 
-/// Inflates into `out`, which grows up to `most`. \return zlib's last word.
-int Inflate(z_stream& stream, std::string& out, std::size_t most) {
-  int said = Z_OK;
-  while (said == Z_OK) {
-    const std::size_t done = stream.total_out;
-    if (done == out.size()) {
-      if (done == most)
+/// Decompresses into `out`, which grows up to `max_bytes` bytes.
+/// \return the last result code of zlib.
+int Inflate(z_stream& stream, std::string& out, std::size_t max_bytes) {
+  int result = Z_OK;
+  while (result == Z_OK) {
+    const std::size_t written = stream.total_out;
+    if (written == out.size()) {
+      if (written == max_bytes)
         return Z_BUF_ERROR;
-      out.resize(std::min(most, out.size() * 2));
+      out.resize(std::min(max_bytes, out.size() * 2));
     }
-    stream.next_out = BytesOf(out) + done;
-    stream.avail_out = static_cast<uInt>(out.size() - done);
-    said = inflate(&stream, Z_NO_FLUSH);
-    const bool stuck = said == Z_BUF_ERROR && stream.avail_in > 0 && stream.avail_out == 0;
-    if (stuck)
-      said = Z_OK;
+    stream.next_out = BytesOf(out) + written;
+    stream.avail_out = static_cast<uInt>(out.size() - written);
+    result = inflate(&stream, Z_NO_FLUSH);
+    const bool needs_space = result == Z_BUF_ERROR && stream.avail_in > 0 && stream.avail_out == 0;
+    if (needs_space)
+      result = Z_OK;
   }
-  return said;
+  return result;
 }
 
 }  // namespace
@@ -41,7 +44,7 @@
 std::string Pack(std::string_view bytes) {
   uLongf size = compressBound(static_cast<uLong>(bytes.size()));
   std::string packed(size, '\0');
-  // Into a buffer of that bound it can fail for lack of memory only.
+  // With a buffer of that size, the only possible failure is a lack of memory.
   if (compress2(BytesOf(packed), &size, BytesOf(bytes), static_cast<uLong>(bytes.size()),
                 Z_BEST_SPEED) != Z_OK)
     throw std::bad_alloc();
@@ -49,22 +52,24 @@
   return packed;
 }
 
-Result<std::string> Unpack(std::string_view packed, std::size_t most) {
+Result<std::string> Unpack(std::string_view packed, std::size_t max_bytes) {
   z_stream stream{};
   stream.next_in = BytesOf(packed);
   stream.avail_in = static_cast<uInt>(packed.size());
   if (inflateInit(&stream) != Z_OK)
     throw std::bad_alloc();
-  // A byte of room at least: an empty text has to end as well.
-  std::string out(
-      std::clamp<std::size_t>(packed.size() * kGrowth, 1, std::max<std::size_t>(most, 1)), '\0');
-  out.resize(std::max(out.size(), std::min(most, kFirstRoom)));
-  const int said = Inflate(stream, out, std::max<std::size_t>(most, 1));
+  // zlib needs an output buffer of at least one byte, even to reach the end of an empty text.
+  std::string out(std::clamp<std::size_t>(packed.size() * kExpectedRatio, 1,
+                                          std::max<std::size_t>(max_bytes, 1)),
+                  '\0');
+  out.resize(std::max(out.size(), std::min(max_bytes, kMinFirstBuffer)));
+  const int result = Inflate(stream, out, std::max<std::size_t>(max_bytes, 1));
   const std::size_t size = stream.total_out;
-  const bool whole = said == Z_STREAM_END && stream.avail_in == 0 && size <= most;
+  const bool complete = result == Z_STREAM_END && stream.avail_in == 0 && size <= max_bytes;
   inflateEnd(&stream);
-  if (!whole)
-    return Fail(ResultCode::kPeerProtocol, "packed bytes that aren't whole or hold too much");
+  if (!complete)
+    return Fail(ResultCode::kPeerProtocol,
+                "compressed bytes are incomplete, have trailing bytes or exceed the size limit");
   out.resize(size);
   return out;
 }
--- a/packages/wire/src/peer_client.cc
+++ b/packages/wire/src/peer_client.cc
@@ -7,10 +7,13 @@
 namespace poppyway {
 namespace {
 
+// The intervals between checks for timeouts, with and without open calls.
 constexpr std::uint64_t kBusyExpiryMillis = 20;
 constexpr std::uint64_t kIdleExpiryMillis = 250;
-constexpr std::size_t kMaxBacklog = 256;
-constexpr Duration kConnectLimit{400'000};  // Peers are a few ms away; a lost SYN costs a second.
+// The most messages that wait for a connection. Further ones are dropped, and their calls fail.
+constexpr std::size_t kMaxUnsent = 256;
+// Peers are a few milliseconds away, and a lost SYN is retransmitted only after a second.
+constexpr Duration kConnectTimeout{400'000};
 
 }  // namespace
 
@@ -44,7 +47,7 @@
   envelope.id = m_next_id++;
   envelope.reply = false;
   envelope.body = std::move(body);
-  m_waiting[envelope.id] = {std::move(on_reply), ReadClock() + timeout};
+  m_pending_calls[envelope.id] = {std::move(on_reply), ReadClock() + timeout};
   Post(std::move(envelope));
 }
 
@@ -61,36 +64,36 @@
     m_connection->Send(envelope);
     return;
   }
-  if (m_backlog.size() < kMaxBacklog)
-    m_backlog.push_back(std::move(envelope));
+  if (m_unsent.size() < kMaxUnsent)
+    m_unsent.push_back(std::move(envelope));
   Connect();
 }
 
 void PeerClient::Connect() {
   if (m_connecting != nullptr)
     return;
-  sockaddr_in where{};
-  where.sin_family = AF_INET;
-  where.sin_port = htons(m_port);
-  inet_pton(AF_INET, m_address.c_str(), &where.sin_addr);
-  m_connecting = h2o_socket_connect(m_loop.loop(), reinterpret_cast<sockaddr*>(&where),
-                                    sizeof(where), &PeerClient::OnConnected);
+  sockaddr_in endpoint{};
+  endpoint.sin_family = AF_INET;
+  endpoint.sin_port = htons(m_port);
+  inet_pton(AF_INET, m_address.c_str(), &endpoint.sin_addr);
+  m_connecting = h2o_socket_connect(m_loop.loop(), reinterpret_cast<sockaddr*>(&endpoint),
+                                    sizeof(endpoint), &PeerClient::OnConnected);
   if (m_connecting == nullptr) {
-    m_backlog.clear();
+    m_unsent.clear();
     return;
   }
   m_connecting->data = this;
-  m_connect_expires = ReadClock() + kConnectLimit;
+  m_connect_expires = ReadClock() + kConnectTimeout;
 }
 
 void PeerClient::OnConnected(h2o_socket_t* socket, const char* fault) {
   auto* self = static_cast<PeerClient*>(socket->data);
   self->m_connecting = nullptr;
   if (fault == nullptr)
-    SetDeadPeerTimeout(h2o_socket_get_fd(socket), kPeerSilence);
+    SetDeadPeerTimeout(h2o_socket_get_fd(socket), kDeadPeerTimeout);
   if (fault != nullptr) {
     h2o_socket_close(socket);
-    self->m_backlog.clear();
+    self->m_unsent.clear();
     self->FailAll({ResultCode::kPeerUnreachable, fault});
     return;
   }
@@ -100,14 +103,14 @@
       socket,
       [self](PeerConnection&, wire::Envelope envelope) {
         self->m_last_message_time = ReadClock();
-        const auto found = self->m_waiting.find(envelope.id);
-        if (found == self->m_waiting.end()) {
+        const auto found = self->m_pending_calls.find(envelope.id);
+        if (found == self->m_pending_calls.end()) {
           if (self->m_on_push)
             self->m_on_push(std::move(envelope.body));
           return;
         }
         OnReply on_reply = std::move(found->second.m_on_reply);
-        self->m_waiting.erase(found);
+        self->m_pending_calls.erase(found);
         on_reply(std::move(envelope.body));
       },
       [self](PeerConnection&, const Error& why) {
@@ -116,17 +119,17 @@
           self->m_on_lost();
       });
   self->m_connection->Start();
-  const std::vector<wire::Envelope> backlog = std::move(self->m_backlog);
-  self->m_backlog.clear();
-  for (const wire::Envelope& envelope : backlog)
+  const std::vector<wire::Envelope> unsent = std::move(self->m_unsent);
+  self->m_unsent.clear();
+  for (const wire::Envelope& envelope : unsent)
     self->m_connection->Send(envelope);
 }
 
 void PeerClient::FailAll(const Error& why) {
-  std::map<std::int64_t, Waiting> failed;
-  failed.swap(m_waiting);
-  for (auto& [id, waiting] : failed)
-    waiting.m_on_reply(tl::unexpected<Error>(why));
+  std::map<std::int64_t, PendingCall> failed;
+  failed.swap(m_pending_calls);
+  for (auto& [id, call] : failed)
+    call.m_on_reply(tl::unexpected<Error>(why));
 }
 
 void PeerClient::ExpireConnect(Instant now) {
@@ -134,25 +137,25 @@
     return;
   h2o_socket_close(m_connecting);
   m_connecting = nullptr;
-  m_backlog.clear();
-  FailAll({ResultCode::kPeerUnreachable, "no connection in time"});
+  m_unsent.clear();
+  FailAll({ResultCode::kPeerUnreachable, "connection attempt timed out"});
 }
 
 bool PeerClient::ExpireCalls() {
   const Instant now = ReadClock();
   ExpireConnect(now);
   std::vector<OnReply> expired;
-  for (auto it = m_waiting.begin(); it != m_waiting.end();) {
+  for (auto it = m_pending_calls.begin(); it != m_pending_calls.end();) {
     if (it->second.m_expires > now) {
       ++it;
       continue;
     }
     expired.push_back(std::move(it->second.m_on_reply));
-    it = m_waiting.erase(it);
+    it = m_pending_calls.erase(it);
   }
   for (OnReply& on_reply : expired)
-    on_reply(Fail(ResultCode::kPeerUnreachable, "no reply in time"));
-  return !m_waiting.empty() || m_connecting != nullptr;
+    on_reply(Fail(ResultCode::kPeerUnreachable, "no reply before the timeout"));
+  return !m_pending_calls.empty() || m_connecting != nullptr;
 }
 
 }  // namespace poppyway
--- a/packages/wire/src/peer_connection.cc
+++ b/packages/wire/src/peer_connection.cc
@@ -46,7 +46,7 @@
   h2o_socket_close(socket);
 }
 
-void PeerConnection::Drop(const Error& why) {
+void PeerConnection::CloseWithError(const Error& why) {
   if (!open())
     return;
   const auto keep = shared_from_this();
@@ -59,15 +59,15 @@
     return;
   m_writing.swap(m_pending);
   m_bytes_sent += m_writing.size();
-  h2o_iovec_t part = h2o_iovec_init(m_writing.data(), m_writing.size());
-  h2o_socket_write(m_socket, &part, 1, &PeerConnection::OnWritten);
+  h2o_iovec_t buffer = h2o_iovec_init(m_writing.data(), m_writing.size());
+  h2o_socket_write(m_socket, &buffer, 1, &PeerConnection::OnWritten);
 }
 
 void PeerConnection::OnWritten(h2o_socket_t* socket, const char* fault) {
   auto* self = static_cast<PeerConnection*>(socket->data);
   self->m_writing.clear();
   if (fault != nullptr) {
-    self->Drop({ResultCode::kPeerUnreachable, fault});
+    self->CloseWithError({ResultCode::kPeerUnreachable, fault});
     return;
   }
   if (self->m_pending.empty())
@@ -78,7 +78,7 @@
 void PeerConnection::OnReadable(h2o_socket_t* socket, const char* fault) {
   auto* self = static_cast<PeerConnection*>(socket->data);
   if (fault != nullptr) {
-    self->Drop({ResultCode::kPeerUnreachable, fault});
+    self->CloseWithError({ResultCode::kPeerUnreachable, fault});
     return;
   }
   self->m_last_receive_time = ReadClock();
@@ -87,14 +87,14 @@
     const std::string_view bytes(socket->input->bytes, socket->input->size);
     Result<std::optional<FrameView>> frame = NextFrame(bytes);
     if (!frame) {
-      self->Drop(frame.error());
+      self->CloseWithError(frame.error());
       return;
     }
     if (!frame->has_value())
       return;
     Result<wire::Envelope> envelope = Deserialize<wire::Envelope>((*frame)->m_payload);
     if (!envelope) {
-      self->Drop(envelope.error());
+      self->CloseWithError(envelope.error());
       return;
     }
     h2o_buffer_consume(&socket->input, (*frame)->m_consumed);
--- a/packages/wire/src/peer_server.cc
+++ b/packages/wire/src/peer_server.cc
@@ -14,32 +14,32 @@
 namespace poppyway {
 namespace {
 
-constexpr int kBacklog = 1024;
+constexpr int kListenBacklog = 1024;
 
 }  // namespace
 
-void SetDeadPeerTimeout(int fd, Duration limit) {
-  const int on = 1;
-  const auto millis = static_cast<unsigned int>(limit.count() / 1000);
-  const int second = 1;
-  const int probes = std::max(1, static_cast<int>(limit.count() / 1'000'000));
-  setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
-  setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &second, sizeof(second));
-  setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &second, sizeof(second));
+void SetDeadPeerTimeout(int fd, Duration timeout) {
+  const int enabled = 1;
+  const auto millis = static_cast<unsigned int>(timeout.count() / 1000);
+  const int interval_seconds = 1;
+  const int probes = std::max(1, static_cast<int>(timeout.count() / 1'000'000));
+  setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &enabled, sizeof(enabled));
+  setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &interval_seconds, sizeof(interval_seconds));
+  setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_seconds, sizeof(interval_seconds));
   setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes));
   setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &millis, sizeof(millis));
 }
 
 Result<int> OpenListener(const std::string& address, std::uint16_t port) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  const int on = 1;
-  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-  sockaddr_in where{};
-  where.sin_family = AF_INET;
-  where.sin_port = htons(port);
-  inet_pton(AF_INET, address.c_str(), &where.sin_addr);
-  const bool bound = bind(fd, reinterpret_cast<sockaddr*>(&where), sizeof(where)) == 0;
-  if (bound && listen(fd, kBacklog) == 0)
+  const int enabled = 1;
+  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof(enabled));
+  sockaddr_in endpoint{};
+  endpoint.sin_family = AF_INET;
+  endpoint.sin_port = htons(port);
+  inet_pton(AF_INET, address.c_str(), &endpoint.sin_addr);
+  const bool bound = bind(fd, reinterpret_cast<sockaddr*>(&endpoint), sizeof(endpoint)) == 0;
+  if (bound && listen(fd, kListenBacklog) == 0)
     return fd;
   const std::string why = std::strerror(errno);
   close(fd);
@@ -49,8 +49,8 @@
 
 PeerServer::PeerServer(EventLoop& loop,
                        PeerConnection::OnMessage on_message,
-                       std::function<void(const Error&)> on_refused)
-    : m_loop(loop), m_on_message(std::move(on_message)), m_on_refused(std::move(on_refused)) {}
+                       std::function<void(const Error&)> on_rejected)
+    : m_loop(loop), m_on_message(std::move(on_message)), m_on_rejected(std::move(on_rejected)) {}
 
 PeerServer::~PeerServer() {
   if (m_listener != nullptr)
@@ -88,13 +88,13 @@
   h2o_socket_t* socket = h2o_evloop_socket_accept(listener);
   if (socket == nullptr)
     return;
-  SetDeadPeerTimeout(h2o_socket_get_fd(socket), kPeerSilence);
+  SetDeadPeerTimeout(h2o_socket_get_fd(socket), kDeadPeerTimeout);
   auto connection = std::make_shared<PeerConnection>(
       socket, self->m_on_message, [self](PeerConnection& closed, const Error& why) {
         self->m_closed_bytes += closed.bytes_sent();
         self->m_connections.erase(closed.shared_from_this());
         if (why.m_code == ResultCode::kPeerProtocol)
-          self->m_on_refused(why);
+          self->m_on_rejected(why);
       });
   self->m_connections.insert(connection);
   connection->Start();
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-wire::Envelope Sample() {
+wire::Envelope MakeEnvelope() {
   wire::Envelope envelope;
   envelope.id = 7;
   envelope.reply = true;
@@ -24,19 +24,19 @@
 }  // namespace
 
 TEST_CASE("a frame comes back as it went, however it is cut", "[wire]") {
-  const wire::Envelope sample = Sample();
+  const wire::Envelope sample = MakeEnvelope();
   const std::string frame = EncodeFrame(sample);
   for (std::size_t size = 0; size < frame.size(); ++size) {
-    const auto part = NextFrame(std::string_view(frame).substr(0, size));
-    REQUIRE(part);
-    CHECK_FALSE(part->has_value());
+    const auto frame_part = NextFrame(std::string_view(frame).substr(0, size));
+    REQUIRE(frame_part);
+    CHECK_FALSE(frame_part->has_value());
   }
   const std::string longer = frame + "rest";
-  const auto whole = NextFrame(longer);
-  REQUIRE(whole);
-  REQUIRE(whole->has_value());
-  CHECK((*whole)->m_consumed == frame.size());
-  CHECK(*Deserialize<wire::Envelope>((*whole)->m_payload) == sample);
+  const auto complete = NextFrame(longer);
+  REQUIRE(complete);
+  REQUIRE(complete->has_value());
+  CHECK((*complete)->m_consumed == frame.size());
+  CHECK(*Deserialize<wire::Envelope>((*complete)->m_payload) == sample);
 }
 
 TEST_CASE("an oversized frame is refused by its length alone", "[wire]") {
@@ -47,10 +47,10 @@
           "[wire]") {
   wire::Envelope envelope;
   wire::PlaceAnswers answers;
-  answers.answers.resize(15);  // From 15 on the count is a number of its own.
+  answers.answers.resize(15);  // From 15 elements on, the count has its own bytes.
   envelope.body.__set_place_answers(answers);
   std::string bytes = Serialize(envelope);
-  const std::size_t at = bytes.find("\xfc\x0f");  // A list of structs, 15 of them.
+  const std::size_t at = bytes.find("\xfc\x0f");  // The header of a list of 15 structs.
   REQUIRE(at != std::string::npos);
   bytes.replace(at + 1, 1, "\x80\x80\x08");  // 131,072.
   const Result<wire::Envelope> read = Deserialize<wire::Envelope>(bytes);
@@ -60,7 +60,7 @@
 
 TEST_CASE("damaged messages are refused or read, but never crash", "[wire][fuzz]") {
   std::mt19937_64 random(3);
-  const std::string good = Serialize(Sample());
+  const std::string good = Serialize(MakeEnvelope());
   for (int i = 0; i < 20'000; ++i) {
     std::string bytes = good;
     const int changes = 1 + static_cast<int>(random() % 4);
