--- a/fuzz/codec_fuzz.cc
+++ b/fuzz/codec_fuzz.cc
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Feeds bytes of strangers to every decoder. The first byte of an input picks the decoder. What a
-// decoder accepts must hold what its readers rely on; a broken promise aborts, as a fault does that
-// the sanitizers find.
+// Feeds untrusted bytes to every decoder. The first byte of an input selects the decoder. An
+// accepted value must satisfy the invariants that its users rely on; a violation aborts, as does
+// any fault that the sanitizers find.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -14,12 +14,13 @@
 namespace poppyway {
 namespace {
 
-void Require(bool met) {
-  if (!met)
+/// Aborts unless the invariant `holds`.
+void Require(bool holds) {
+  if (!holds)
     std::abort();
 }
 
-/// Takes the bytes up to the next line feed, and that, off the front.
+/// Removes the first line with its line feed from `bytes` and returns it without the line feed.
 std::string_view TakeLine(std::string_view& bytes) {
   const std::size_t end = bytes.find('\n');
   const std::string_view line = bytes.substr(0, end);
@@ -27,14 +28,14 @@
   return line;
 }
 
-/// A call: its method, its target, and the rest.
+/// Decodes a control request: the method and the target, a line each, then the body.
 void FuzzControlCall(std::string_view bytes) {
   const std::string_view method = TakeLine(bytes);
   const std::string_view target = TakeLine(bytes);
   const Result<platform::ControlRequest> call =
       platform::DecodeControlRequest(method, target, bytes);
-  const bool faulty = platform::FindHeartbeatError(method, target, bytes).has_value();
-  Require(!faulty || !call);
+  const bool has_error = platform::FindHeartbeatError(method, target, bytes).has_value();
+  Require(!has_error || !call);
   if (!call) {
     Require(platform::EncodeControlError(call.error()).m_status == 400);
     return;
@@ -47,8 +48,8 @@
   Require(server.sequence >= 0 && server.born >= 0 && server.cold_for_ms >= 0);
 }
 
-/// A decoder that has read a document before says of the next one what one says that hasn't.
-void RequireSameAfterAnother(std::string_view bytes, const Result<RouteTable>& table) {
+/// Checks that a decoder which has decoded a document before gives the same result as a new one.
+void RequireSameFromUsedDecoder(std::string_view bytes, const Result<RouteTable>& table) {
   platform::DocumentDecoder decoder;
   for (int i = 0; i < 2; ++i) {
     const Result<RouteTable> again = decoder.Decode(bytes);
@@ -58,18 +59,18 @@
 
 void FuzzDocument(std::string_view bytes) {
   const Result<RouteTable> table = platform::DecodeDocument(bytes);
-  RequireSameAfterAnother(bytes, table);
+  RequireSameFromUsedDecoder(bytes, table);
   if (!table)
     return;
   for (const Route& route : table->m_routes) {
-    for (const PoolWeight& part : route.m_pools)
-      Require(FindPool(*table, part.m_pool) != nullptr);
+    for (const PoolWeight& pool : route.m_pools)
+      Require(FindPool(*table, pool.m_pool) != nullptr);
   }
 }
 
-/// Header fields, "name: value" a line.
-void FuzzDialect(std::string_view bytes) {
-  static const ProtocolAdapter kDialect = platform::MakeProtocolAdapter();
+/// Decodes header fields, one "name: value" on each line.
+void FuzzProtocolAdapter(std::string_view bytes) {
+  static const ProtocolAdapter kAdapter = platform::MakeProtocolAdapter();
   std::vector<Field> fields;
   while (!bytes.empty()) {
     const std::string_view line = TakeLine(bytes);
@@ -77,32 +78,33 @@
     if (colon != std::string_view::npos)
       fields.push_back({std::string(line.substr(0, colon)), std::string(line.substr(colon + 2))});
   }
-  const CallerRequest request = kDialect.m_decode_request(fields);
+  const CallerRequest request = kAdapter.m_decode_request(fields);
   Require(request.m_prompt_tokens >= 0);
   Require(!request.m_timeout || *request.m_timeout >= Duration(0));
-  (void)kDialect.m_decode_response(200, std::move(fields));
+  (void)kAdapter.m_decode_response(200, std::move(fields));
 }
 
-/// What is split must not depend on where reads end: the first byte says where they do.
+/// Checks that the extracted events don't depend on how reads split the stream. The first byte
+/// gives the size of the reads.
 void FuzzEvents(std::string_view bytes) {
   if (bytes.empty())
     return;
   const std::size_t step = static_cast<unsigned char>(bytes.front()) + std::size_t{1};
   bytes.remove_prefix(1);
   EventStreamParser at_once;
-  const std::string whole = ExtractEvents(at_once, bytes);
+  const std::string at_once_text = ExtractEvents(at_once, bytes);
   EventStreamParser in_parts;
-  std::string parts;
+  std::string in_parts_text;
   for (std::size_t at = 0; at < bytes.size(); at += step)
-    parts += ExtractEvents(in_parts, bytes.substr(at, step));
+    in_parts_text += ExtractEvents(in_parts, bytes.substr(at, step));
   Require(at_once.m_out_of_order == in_parts.m_out_of_order);
   if (!at_once.m_out_of_order)
-    Require(whole == parts && at_once.m_partial == in_parts.m_partial &&
+    Require(at_once_text == in_parts_text && at_once.m_partial == in_parts.m_partial &&
             at_once.m_last_id == in_parts.m_last_id && at_once.m_events == in_parts.m_events &&
-            whole + at_once.m_partial == bytes);
+            at_once_text + at_once.m_partial == bytes);
 }
 
-/// A peer's message: what was understood is the same once written and read again.
+/// Checks that an accepted peer message is the same after it was written and read again.
 void FuzzEnvelope(std::string_view bytes) {
   (void)NextFrame(bytes);
   const Result<wire::Envelope> envelope = Deserialize<wire::Envelope>(bytes);
@@ -113,18 +115,18 @@
   Require(again.has_value() && Serialize(*again) == written);
 }
 
-/// The edits of a step of the document, as they come packed and as they are inside: a text and a
-/// list.
+/// Applies the edits of a document change, compressed and as they are. The first half of the input
+/// is the base text, the second half the list of edits.
 void FuzzEdits(std::string_view bytes) {
-  constexpr std::size_t kMost = 1 << 16;
+  constexpr std::size_t kMaxBytes = 1 << 16;
   const std::string base(bytes.substr(0, bytes.size() / 2));
   const std::string_view list = bytes.substr(bytes.size() / 2);
   for (const std::string& edits : {std::string(list), Pack(list)}) {
-    const Result<std::string> text = ApplyEdits(base, edits, kMost);
-    Require(!text || text->size() <= kMost);
+    const Result<std::string> text = ApplyEdits(base, edits, kMaxBytes);
+    Require(!text || text->size() <= kMaxBytes);
   }
-  const Result<std::string> again = ApplyEdits(base, EncodeEdits(base, list), kMost);
-  Require(list.size() > kMost || (again && *again == list));
+  const Result<std::string> again = ApplyEdits(base, EncodeEdits(base, list), kMaxBytes);
+  Require(list.size() > kMaxBytes || (again && *again == list));
 }
 
 }  // namespace
@@ -143,7 +145,7 @@
       FuzzDocument(bytes);
       break;
     case 'h':
-      FuzzDialect(bytes);
+      FuzzProtocolAdapter(bytes);
       break;
     case 'e':
       FuzzEvents(bytes);
