--- a/packages/policy/include/poppyway/policy/impl/instance_share.h
+++ b/packages/policy/include/poppyway/policy/impl/instance_share.h
@@ -8,15 +8,16 @@
 
 namespace poppyway {
 
-/// \brief An even part of a server's places, for an instance that has no word of the others.
+/// \brief Returns an instance's even share of a server's slots, for use without a broker.
 ///
-/// Over all instances the parts add up to about the places there are. While a new leader knew
-/// nobody's work, eight instances took all engines for idle: 21 requests were at an engine of 15
-/// places on average, 55 at most; with even parts 13 and 18, under the same load and fault.
-/// \param turn differs by instance and server: spreads what doesn't divide evenly.
-[[nodiscard]] int EvenShare(int places, int instances, std::uint64_t turn) noexcept;
-
-/// \brief The most instances that were counted of late.
+/// The shares of all instances add up to the server's slots. If each instance uses all slots
+/// instead while a new leader has no state, they overload the servers: eight instances sent 21
+/// requests on average and 55 at most to an engine of 15 slots; with even shares it was 13 and 18
+/// under the same load and fault.
+/// \param rotation differs by instance and server; it spreads the remainder of the division.
+[[nodiscard]] int EvenShare(int slots, int instances, std::uint64_t rotation) noexcept;
+
+/// \brief The highest recent number of instances.
 struct InstanceCount {
   int m_recent_max = 1;
   Instant m_counted{};
@@ -24,9 +25,11 @@
   friend bool operator==(const InstanceCount&, const InstanceCount&) = default;
 };
 
-/// \brief Counts the instances that share places and limits. A new leader knows only those that
-/// have called it since: the rest of those counted before may be cut off and still serve, so they
-/// count for `may_serve`.
+/// \brief Counts the instances that share slots and limits.
+///
+/// A new leader knows only the instances that have connected since its start. The others counted
+/// before may be disconnected and still serve, so they stay in the count for `may_serve`.
+/// \param live number of instances known now.
 [[nodiscard]] InstanceCount CountInstances(const InstanceCount& before,
                                            int live,
                                            Duration may_serve,
--- a/packages/policy/include/poppyway/policy/impl/quota_limit.h
+++ b/packages/policy/include/poppyway/policy/impl/quota_limit.h
@@ -4,7 +4,7 @@
 
 namespace poppyway {
 
-/// \brief A workspace's limit over all instances together.
+/// \brief A workspace's limit, which all instances share.
 struct QuotaLimit {
   double m_rate_per_s = 0;  ///< Zero: no limit.
   double m_burst = 0;
@@ -12,24 +12,24 @@
   friend bool operator==(const QuotaLimit&, const QuotaLimit&) = default;
 };
 
-/// \brief How far all instances together may overrun a limit, as the operator bounds it.
+/// \brief How far all instances together may exceed a limit; set by the operator.
 struct QuotaTolerance {
   double m_overage = 0;  ///< Share of the limit.
-  double m_slack = 0;    ///< In the limit's unit, on top.
+  double m_slack = 0;    ///< Additional amount in the limit's unit.
 
   friend bool operator==(const QuotaTolerance&, const QuotaTolerance&) = default;
 };
 
-/// \brief What a request asks of a limit.
+/// \brief The cost of a request and its claim on a limit.
 struct QuotaRequest {
   double m_cost = 0;
-  double m_reserve = 0;  ///< Share of the burst that it leaves to more urgent requests.
+  double m_reserve = 0;  ///< Share of the burst that the request leaves to more urgent ones.
 
   friend bool operator==(const QuotaRequest&, const QuotaRequest&) = default;
 };
 
-/// \brief The limit that is aimed at: some of the tolerance is used, so that what is below the
-/// operator's limit isn't refused for the time that a request takes to reach its server.
+/// \brief Returns the limit to enforce. It uses part of the tolerance, so that usage below the
+/// operator's limit isn't rejected because of the time that requests take to reach their server.
 [[nodiscard]] QuotaLimit WithTolerance(const QuotaLimit& limit,
                                        const QuotaTolerance& tolerance) noexcept;
 
--- a/packages/policy/include/poppyway/policy/impl/server_eligibility.h
+++ b/packages/policy/include/poppyway/policy/impl/server_eligibility.h
@@ -9,54 +9,57 @@
 
 namespace poppyway {
 
-/// \brief Why a backend server may not take a request now. Of several reasons the first one below
-/// is given.
+/// \brief Why a backend server may not take a request now. If several reasons apply, the first in
+/// this order is reported.
 enum class IneligibleReason : std::uint8_t {
-  kNone,         ///< It may.
-  kLeaving,      ///< It said so, is gone, or a later one took its address.
-  kEvacuated,    ///< An operator ordered that its data centre gets nothing new.
+  kNone,  ///< The server may take the request.
+  /// The server announced that it is leaving, is gone, or lost its address to another server.
+  kLeaving,
+  kEvacuated,    ///< An operator ordered that the server's data centre gets no new work.
   kOutsideHome,  ///< The request may only be served in other regions.
-  kRollout,      ///< A roll-out keeps servers of its version from ordinary work.
-  kTried,        ///< The request was sent there before.
-  kBackOff,      ///< It asked this instance to send nothing for a while, which is not over.
-  kCold,         ///< It has got as much as it may while it is cold.
-  kSuspect,      ///< It failed lately; used all the same where too little else is left.
+  kRollout,      ///< A roll-out keeps ordinary work from servers of this version.
+  kTried,        ///< The request was already sent to the server.
+  /// The server asked this instance to send nothing for a time that isn't over yet.
+  kBackOff,
+  kCold,  ///< The server is cold and has got as many requests as it may.
+  /// The server failed recently; it is used all the same if too few other servers are left.
+  kSuspect,
 };
 
-/// \brief Text for logs and counters.
+/// \brief Returns the reason's name for logs and counters.
 [[nodiscard]] std::string_view IneligibleReasonName(IneligibleReason reason) noexcept;
 
-/// \brief True if only the server's state at the moment, or nothing, keeps the request from it.
+/// \brief Returns true if nothing, or only the server's temporary state, keeps it from the request.
 [[nodiscard]] bool MayBecomeEligible(IneligibleReason reason) noexcept;
 
-/// \brief What of a server decides whether it may take requests.
+/// \brief State of a server that decides whether it may take requests.
 struct EligibilityInputs {
   bool m_leaving = false;
   bool m_evacuated = false;
   bool m_kept_by_rollout = false;
-  bool m_backs_off = false;  ///< From the instance that sends the request.
-  bool m_cold_full = false;  ///< See `SlowStartState`.
+  bool m_backs_off = false;  ///< The server asked the sending instance to back off.
+  bool m_cold_full = false;  ///< See `ColdFull`.
   bool m_suspect = false;
-  std::string_view m_region;  ///< Empty: not known.
+  std::string_view m_region;  ///< Empty if unknown.
 
   friend bool operator==(const EligibilityInputs&, const EligibilityInputs&) = default;
 };
 
 /// \brief Regions in which a request may be served.
 struct HomeRegions {
-  bool m_restricted = false;           ///< False: any region may serve it.
-  std::vector<std::string> m_regions;  ///< Bound and empty: none may.
+  bool m_restricted = false;           ///< False: any region may serve the request.
+  std::vector<std::string> m_regions;  ///< Restricted and empty: no region may serve the request.
 
   friend bool operator==(const HomeRegions&, const HomeRegions&) = default;
 };
 
-/// \brief True if a server of `region` may serve what has these homes. A server whose region isn't
-/// known may serve only what isn't bound.
+/// \brief Returns true if a server in `region` may serve a request with these home regions. A
+/// server of an unknown region may serve only requests that aren't restricted.
 [[nodiscard]] bool IsInHomeRegion(const HomeRegions& homes, std::string_view region) noexcept;
 
-/// \brief The one answer to whether a server may take a request: for the broker, for instances that
-/// decide alone, for retries and for resumed streams. Pure; any thread.
-/// \param tried the request was sent there before.
+/// \brief Returns why a server may not take a request, or `kNone`. The broker, instances without a
+/// broker, retries and resumed streams all decide by this function. Pure and thread-safe.
+/// \param tried true if the request was already sent to the server.
 [[nodiscard]] IneligibleReason CheckEligibility(const EligibilityInputs& server,
                                                 const HomeRegions& homes,
                                                 bool tried) noexcept;
--- a/packages/policy/include/poppyway/policy/impl/server_notice.h
+++ b/packages/policy/include/poppyway/policy/impl/server_notice.h
@@ -14,48 +14,54 @@
 
 namespace poppyway {
 
-/// \brief What a backend server said of itself in an answer to one instance.
+/// \brief What a backend server announced about itself in a response to one instance.
 struct ServerNotice {
   std::string m_server;
-  std::int64_t m_started_ms = 0;  ///< Birth of the life that said it, as in `BackendServer`.
-  Duration m_back_off{};  ///< It wants nothing from that instance for so long. Zero: it didn't ask.
-  bool m_leaving = false;  ///< It is about to end: no instance is to send it anything new.
+  /// Start time of the process that sent it, as in `BackendServer`.
+  std::int64_t m_started_ms = 0;
+  /// Time for which the server wants no requests from that instance; zero if it didn't ask.
+  Duration m_back_off{};
+  bool m_leaving = false;  ///< The server is shutting down and gets no new work from any instance.
 
   friend bool operator==(const ServerNotice&, const ServerNotice&) = default;
 };
 
-/// \brief What one life of a backend server has said of itself, to all instances. It holds whatever
-/// else is known of the server: good answers don't end it, since a server goes on with what it runs
-/// while it turns new requests away.
+/// \brief The notices that a process of a backend server has sent to all instances.
+///
+/// They hold whatever else is known of the server. Successful responses don't end them, since a
+/// server completes running requests while it rejects new ones.
 struct ServerNotices {
-  bool m_leaving = false;  ///< To any instance; a life that leaves doesn't come back.
-  std::map<std::string, Instant> m_back_off_until;  ///< By instance (incarnation) that was asked.
+  /// Announced to any instance; a process that announced it never takes new work again.
+  bool m_leaving = false;
+  /// End of the back-off by incarnation of the instance.
+  std::map<std::string, Instant> m_back_off_until;
 
   friend bool operator==(const ServerNotices&, const ServerNotices&) = default;
 };
 
-/// \brief Takes a word that the server said to `instance` just now. A shorter time than the one
-/// under way doesn't shorten it. Times that are over are dropped. Not thread-safe.
-void TakeWord(ServerNotices& notices,
-              const std::string& instance,
-              const ServerNotice& notice,
-              Instant now);
+/// \brief Records a notice that the server has just sent to `instance`. A shorter back-off doesn't
+/// shorten the one in effect; expired ones are removed. Not thread-safe.
+void RecordNotice(ServerNotices& notices,
+                  const std::string& instance,
+                  const ServerNotice& notice,
+                  Instant now);
 
-/// \brief For how long the server still wants nothing from `instance`; zero: it may get requests.
-/// Pure; any thread.
+/// \brief Returns how long the server still wants no requests from `instance`; zero if it takes
+/// them. Pure and thread-safe.
 [[nodiscard]] Duration BackOffLeft(const ServerNotices& notices,
                                    const std::string& instance,
                                    Instant now) noexcept;
 
-/// \brief True if the server has asked any instance to send nothing for a time that isn't over.
-/// Pure; any thread.
+/// \brief Returns true if a back-off of any instance is in effect. Pure and thread-safe.
 [[nodiscard]] bool AnyBackOff(const ServerNotices& notices, Instant now) noexcept;
 
-/// \brief When the first server that could serve a request wants something from its instance again,
-/// if all of them have asked that instance to send nothing for a while; nullopt if one takes it
-/// now, or as soon as it has room, and if none could serve it at all. Any thread. \param servers
-/// how many there are. \param reason_of what keeps the i-th from the request. \param left_of for
-/// how long the i-th, which backs off, still does.
+/// \brief Returns the shortest remaining back-off if all servers that could serve a request have
+/// asked its instance to back off. Thread-safe if the callables are.
+/// \param servers number of servers.
+/// \param reason_of returns why the i-th server may not take the request.
+/// \param left_of returns the remaining back-off of the i-th server; called only if it has one.
+/// \return nullopt if a server takes the request now or may do so soon, or if no server could serve
+/// it at all.
 template <typename ReasonOf, typename LeftOf>
 [[nodiscard]] std::optional<Duration> ShortestBackOff(std::size_t servers,
                                                       ReasonOf reason_of,
--- a/packages/policy/include/poppyway/policy/impl/slot_broker.h
+++ b/packages/policy/include/poppyway/policy/impl/slot_broker.h
@@ -30,10 +30,10 @@
 
 namespace poppyway {
 
-/// \brief Names a place or the request for one, within the instance that asks.
+/// \brief Identifies a slot or the request for one. It is unique within the requesting instance.
 using SlotRef = std::int64_t;
 
-/// \brief A part of a prompt that requests may share.
+/// \brief A segment of a prompt that several requests may share.
 struct PromptSegment {
   std::uint64_t m_id = 0;
   std::int64_t m_tokens = 0;
@@ -41,129 +41,140 @@
   friend bool operator==(const PromptSegment&, const PromptSegment&) = default;
 };
 
-/// \brief A backend server as the registry knows it.
+/// \brief A backend server as listed in the registry.
 struct BackendServer {
   std::string m_id;
   std::string m_pool;
   std::string m_data_centre;
-  int m_slots = 1;                ///< Requests it works on at once.
-  bool m_leaving = false;         ///< It said so, is gone, or another one took its address.
-  std::string m_version;          ///< Of its software.
-  std::string m_region;           ///< Of its data centre; empty: not known.
-  bool m_evacuated = false;       ///< Its data centre is to get nothing new.
-  std::int64_t m_started_ms = 0;  ///< Unix milliseconds of this life's start; zero: not told.
-  Duration m_cold_left{};         ///< As it said when it last changed.
+  int m_slots = 1;  ///< Number of requests that the server processes concurrently.
+  /// The server announced that it is leaving, is gone, or lost its address to another server.
+  bool m_leaving = false;
+  std::string m_version;          ///< Version of the server's software.
+  std::string m_region;           ///< Region of the server's data centre; empty if unknown.
+  bool m_evacuated = false;       ///< New work is kept out of the server's data centre.
+  std::int64_t m_started_ms = 0;  ///< Unix milliseconds of the process start; zero if not reported.
+  Duration m_cold_left{};  ///< Remaining cold time that the server reported with its last change.
   std::string m_address;
   std::uint16_t m_port = 0;
 
   friend bool operator==(const BackendServer&, const BackendServer&) = default;
 };
 
-/// \brief One request that wants a place now.
+/// \brief A request that needs a slot at a backend server.
 struct SlotRequest {
   SlotRef m_ref = 0;
   std::string m_pool;
-  std::string m_workspace;    ///< Empty: it belongs to none.
-  std::string m_data_centre;  ///< Of the instance that asks.
+  std::string m_workspace;    ///< Empty if the request belongs to no workspace.
+  std::string m_data_centre;  ///< Data centre of the requesting instance.
   RouteKey m_route = 0;
-  Tier m_tier = 0;       ///< Of the workspace.
-  RequestShape m_shape;  ///< As of now; `m_tier` is the route's. `m_events` is set by the broker.
+  Tier m_tier = 0;  ///< Tier of the workspace.
+  /// State at the time of the request. `m_tier` is the route's tier; the broker sets `m_events`.
+  RequestShape m_shape;
   std::int64_t m_expected_tokens = 0;
-  Duration m_wait{};  ///< Its caller waits for so long.
+  Duration m_wait{};  ///< Longest time that the request may wait for a slot.
   std::vector<PromptSegment> m_prompt_segments;
-  std::vector<std::string> m_tried;  ///< Servers that it must not go to.
+  std::vector<std::string> m_tried;  ///< Servers that the request must not be sent to.
   QuotaRequest m_quota;
   QuotaLimit m_limit;
-  HomeRegions m_home_regions;  ///< Where it may be served.
+  HomeRegions m_home_regions;  ///< Regions where the request may be served.
 
   friend bool operator==(const SlotRequest&, const SlotRequest&) = default;
 };
 
-/// \brief What became of a place request.
+/// \brief Result of a slot request.
 enum class SlotVerdict : std::uint8_t {
   kPlaced,
-  kQueued,     ///< It waits at the broker; a second answer follows.
-  kNoRoom,     ///< It waited for as long as it may.
+  kQueued,     ///< The request waits at the broker; a second response follows.
+  kNoRoom,     ///< No slot is forecast in time, or none came free before the wait ended.
   kOverLimit,  ///< The workspace has used up its limit.
-  kNoServer,   ///< The pool has no server, or none where it may be served: homes, evacuations.
+  /// The pool has no server, or home regions or evacuations leave none that may serve the request.
+  kNoServer,
 };
 
-/// \brief Text for logs and counters.
+/// \brief Returns the verdict's name for logs and counters.
 [[nodiscard]] std::string_view SlotVerdictName(SlotVerdict verdict) noexcept;
 
-/// \brief The broker's answer to one place request.
+/// \brief The broker's response to a slot request.
 struct SlotResponse {
-  std::string m_instance;  ///< The instance, by incarnation.
+  std::string m_instance;  ///< Incarnation of the requesting instance.
   SlotRef m_ref = 0;
   SlotVerdict m_verdict = SlotVerdict::kPlaced;
   std::string m_server;
-  Duration
-      m_time_to_first_event{};  ///< Forecast of the first event, or the answer of a plain service.
-  double m_limit_left = 0;      ///< Of the workspace's limit.
-  Duration
-      m_estimated_wait{};  ///< Of a refusal: when there is room, as far as can be told. Zero: not.
-  std::int64_t m_started_ms = 0;  ///< Of the server.
-  std::string m_address;          ///< Of the server.
+  /// Forecast time to the first event, or to the whole response of a service that doesn't
+  /// stream.
+  Duration m_time_to_first_event{};
+  double m_limit_left = 0;  ///< Remaining amount of the workspace's limit.
+  /// If the request is rejected: forecast time until a slot comes free; zero if unknown.
+  Duration m_estimated_wait{};
+  std::int64_t m_started_ms = 0;  ///< Process start time of the server.
+  std::string m_address;          ///< Address of the server.
   std::uint16_t m_port = 0;
 
   friend bool operator==(const SlotResponse&, const SlotResponse&) = default;
 };
 
-/// \brief What a request met at its place. An entry of zero says nothing.
+/// \brief Observations of a request at its slot. A field that is zero carries no information.
 struct SlotReport {
   SlotRef m_ref = 0;
-  std::int64_t m_tokens_read = 0;    ///< With its first event: prompt tokens that were ahead of it.
-  Duration m_time_to_first_event{};  ///< From dispatch to the first event.
-  bool m_ended = false;              ///< The place is free.
-  bool m_may_have_run = true;        ///< The server may have run it.
+  /// Set with the first event: prompt tokens of the request, which the server read before it.
+  std::int64_t m_tokens_read = 0;
+  Duration m_time_to_first_event{};  ///< Time from dispatch to the first event.
+  bool m_ended = false;              ///< The request has ended and its slot is free.
+  bool m_may_have_run = true;        ///< The server may have executed the request.
   std::optional<HealthSignal> m_health_signal;
-  bool m_failed = false;       ///< The answer came whole and is a failure of the server.
-  Duration m_service{};        ///< From dispatch to the end of a whole answer.
-  std::int64_t m_events = 0;   ///< Of a whole stream.
-  Duration m_span{};           ///< From the first event to the last.
-  Duration m_longest_pause{};  ///< The longest between two events.
-  Duration m_connect{};        ///< A new connection took so long to come up.
+  bool m_failed = false;       ///< The response is complete and reports a failure of the server.
+  Duration m_service{};        ///< Time from dispatch to the end of a complete response.
+  std::int64_t m_events = 0;   ///< Number of events of a complete stream.
+  Duration m_span{};           ///< Time from the first event to the last.
+  Duration m_longest_pause{};  ///< Longest time between two consecutive events.
+  Duration m_connect{};        ///< Time to establish a new connection.
 
   friend bool operator==(const SlotReport&, const SlotReport&) = default;
 };
 
-/// \brief A place that an instance holds and the broker has to be told of.
+/// \brief A slot that an instance holds and reports to the broker.
 struct HeldSlot {
   SlotRef m_ref = 0;
   std::string m_server;
-  std::int64_t m_pending_prefill_tokens = 0;  ///< Of its prompt, not read yet.
+  std::int64_t m_pending_prefill_tokens = 0;  ///< Prompt tokens that the server hasn't read yet.
   std::int64_t m_expected_tokens = 0;
-  Instant m_taken{};        ///< Given by this broker then; zero: it was told of it.
-  std::string m_workspace;  ///< Charged for it here; empty: not here.
+  /// Time at which this broker assigned the slot; zero if the instance reported it.
+  Instant m_taken{};
+  /// Workspace that this broker charged for the request; empty if it charged none.
+  std::string m_workspace;
   double m_cost = 0;
   RouteKey m_route = 0;
-  std::int64_t m_started_ms = 0;  ///< Of the server when the place was taken; zero: not told.
-  std::string m_version;          ///< Of the server then, as the broker knew it.
-  std::string m_from;             ///< Region that asked; empty: not known, or not given here.
+  /// Process start time of the server when the slot was taken; zero if not reported.
+  std::int64_t m_started_ms = 0;
+  /// Version of the server when the slot was taken, as the broker knew it.
+  std::string m_version;
+  /// Region of the requesting instance; empty if unknown or if this broker didn't assign the slot.
+  std::string m_from;
 
   friend bool operator==(const HeldSlot&, const HeldSlot&) = default;
 };
 
-/// \brief What an instance tells of a workspace's limit when it finds a broker.
+/// \brief State of a workspace's limit that an instance reports when it connects to a broker.
 struct LimitReport {
   std::string m_workspace;
   QuotaLimit m_limit;
-  double m_limit_left = 0;              ///< As a broker last said.
-  Duration m_age{};                     ///< Of that word.
-  std::int64_t m_epoch = 0;             ///< Of the broker that said it; zero: none did.
-  double m_charged_without_broker = 0;  ///< By this instance since that broker was lost.
+  double m_limit_left = 0;   ///< Remaining amount that a broker last reported.
+  Duration m_age{};          ///< Time since a broker reported `m_limit_left`.
+  std::int64_t m_epoch = 0;  ///< Epoch of the broker that reported it; zero if none did.
+  /// Cost that this instance has charged since it lost that broker.
+  double m_charged_without_broker = 0;
 
   friend bool operator==(const LimitReport&, const LimitReport&) = default;
 };
 
-/// \brief All that an instance has for the broker at one moment.
+/// \brief Everything that an instance sends to the broker in one message.
 struct SlotBatch {
   std::int64_t m_epoch = 0;
-  bool m_resync = false;  ///< `m_held` is all that the instance holds.
-  int m_instances = 1;    ///< At work, as it last knew.
+  bool m_resync = false;  ///< `m_held` lists all slots that the instance holds.
+  int m_instances = 1;    ///< Number of active instances that the sender last knew of.
   std::vector<HeldSlot> m_held;
   std::vector<LimitReport> m_limits;
-  std::vector<ServerNotice> m_notices;  ///< With a resync all that hold still.
+  std::vector<ServerNotice> m_notices;  ///< With a resync: all notices that are still in effect.
   std::vector<SlotRef> m_cancelled_requests;
   std::vector<SlotReport> m_reports;
   std::vector<SlotRequest> m_slot_requests;
@@ -175,56 +186,60 @@
   friend bool operator==(const SlotBatch&, const SlotBatch&) = default;
 };
 
-/// \brief The order of service: what is owed a place, then the workspace's tier, the route's,
-/// shorter answers before much longer ones, then age.
+/// \brief Order of the queue: requests of underserved groups first, then by the workspace's tier,
+/// the route's tier, length class (shorter responses first) and arrival.
 struct SlotQueueOrder {
-  bool m_owed = false;  ///< Its group was served too seldom: see `IsOwedSlot`.
+  bool m_underserved = false;  ///< The group is underserved: see `IsUnderserved`.
   Tier m_tier = 0;
   Tier m_route_tier = 0;
-  int m_length_class = 0;  ///< Of the expected answer: doublings above the usual.
+  int m_length_class = 0;  ///< Doublings of the expected response length above the usual one.
   std::int64_t m_number = 0;
 
   friend bool operator==(const SlotQueueOrder&, const SlotQueueOrder&) = default;
   friend bool operator<(const SlotQueueOrder& a, const SlotQueueOrder& b) {
-    return std::tie(b.m_owed, a.m_tier, a.m_route_tier, a.m_length_class, a.m_number) <
-           std::tie(a.m_owed, b.m_tier, b.m_route_tier, b.m_length_class, b.m_number);
+    return std::tie(b.m_underserved, a.m_tier, a.m_route_tier, a.m_length_class, a.m_number) <
+           std::tie(a.m_underserved, b.m_tier, b.m_route_tier, b.m_length_class, b.m_number);
   }
 };
 
-/// \brief A place request that waits at the broker.
+/// \brief A slot request that waits at the broker.
 struct QueuedSlotRequest {
   std::string m_instance;
   SlotRequest m_request;
   ShareGroup m_group;
   SlotQueueOrder m_order;
-  Instant m_asked{};
-  Instant m_until{};              ///< Refused then.
-  bool m_needs_suitable = false;  ///< Some server suits it, so one that doesn't gets it not.
+  Instant m_requested_at{};
+  Instant m_deadline{};  ///< The request is rejected at this time.
+  /// Some server can meet the request's targets, so it isn't assigned to one that can't.
+  bool m_needs_suitable = false;
 };
 
-/// \brief Which servers keep a part of a prompt, by index in the pool, with when it was sent there.
-using PartKeepers = std::vector<std::pair<std::size_t, Instant>>;
+/// \brief Servers that likely cache a prompt segment: index in the pool and time of the last
+/// request with that segment.
+using SegmentServers = std::vector<std::pair<std::size_t, Instant>>;
 
-/// \brief The servers of a pool and what waits for them. The vectors run in parallel.
+/// \brief The servers of a pool and its queue. The per-server vectors run in parallel.
 struct SlotPool {
   std::vector<BackendServer> m_servers;
-  std::vector<ServerView> m_views;  ///< `m_other_in_flight` counts all places taken.
+  std::vector<ServerView> m_views;  ///< `m_other_in_flight` counts all slots taken.
   std::vector<ServerHealth> m_health;
   std::vector<ServerNotices> m_notices;
-  Instant m_back_off_until{};  ///< No server backs off from an instance after it.
+  Instant m_back_off_until{};  ///< After this time no back-off of the pool's servers is in effect.
   std::vector<SlowStartState> m_slow_starts;
-  SlowStartLimit m_slow_start_limit;  ///< Of its servers; by default they are never cold.
+  /// Limit of the pool's servers; by default they are never cold.
+  SlowStartLimit m_slow_start_limit;
   std::map<SlotQueueOrder, QueuedSlotRequest> m_waiting;
-  std::array<double, kTiers> m_mean_log_tokens{};  ///< Logarithm of expected tokens, by rank.
-  std::unordered_map<std::uint64_t, PartKeepers> m_prompt_segments;  ///< By the part's id.
+  /// Mean logarithm of the expected tokens, by route tier.
+  std::array<double, kTiers> m_mean_log_tokens{};
+  std::unordered_map<std::uint64_t, SegmentServers> m_prompt_segments;  ///< By segment id.
   ServerPerformance m_typical;
   Instant m_typical_at{};
-  SlotTurnover m_flow;
+  SlotTurnover m_turnover;
   ServedShares m_shares;
-  std::optional<RolloutTrial> m_trial;  ///< Of a roll-out under way.
+  std::optional<RolloutTrial> m_trial;  ///< Trial of the roll-out in progress.
 };
 
-/// \brief A roll-out under way, as the log has it.
+/// \brief A roll-out in progress, as recorded in the replicated log.
 struct SlotRollout {
   std::string m_pool;
   TrialCheckpoint m_start;
@@ -232,153 +247,169 @@
   friend bool operator==(const SlotRollout&, const SlotRollout&) = default;
 };
 
-/// \brief What the broker knows of one instance.
+/// \brief The broker's state of one instance.
 struct InstanceSlots {
   std::unordered_map<SlotRef, HeldSlot> m_held;
-  std::unordered_map<SlotRef, std::pair<std::string, SlotQueueOrder>>
-      m_waiting;  ///< With the pool.
+  /// The waiting requests with their pools.
+  std::unordered_map<SlotRef, std::pair<std::string, SlotQueueOrder>> m_waiting;
   Instant m_last_heard{};
-  std::string m_data_centre;  ///< As its place requests say; empty: none came yet.
+  /// Data centre in the instance's last slot request; empty before the first.
+  std::string m_data_centre;
 };
 
-/// \brief A server that is kept from new work since the last look, for the log.
+/// \brief A server ejected for its failures, to be logged.
 struct EjectedServer {
   std::string m_server;
-  std::string m_reported_by;  ///< The instance whose report was the last straw.
+  std::string m_reported_by;  ///< Instance whose report led to the ejection.
   ServerHealth m_health;
 
   friend bool operator==(const EjectedServer&, const EjectedServer&) = default;
 };
 
-/// \brief A server that has said in an answer that it leaves since the last look, for the log.
+/// \brief A server that announced in a response that it is leaving, to be logged.
 struct LeavingServer {
   std::string m_server;
-  std::string m_reported_by;  ///< The first instance that told.
+  std::string m_reported_by;  ///< First instance that reported it.
 
   friend bool operator==(const LeavingServer&, const LeavingServer&) = default;
 };
 
-/// \brief The one broker of a deployment: it gives each request its place at a backend server.
+/// \brief The broker of a deployment. It assigns each request a slot at a backend server.
 ///
-/// Every place is given here and given back here, so what is in flight at a server is known exactly
-/// and at once, whatever the number of instances; speeds, lengths and failures are learned from all
-/// answers together; and what waits anywhere is served in one order. The functions below are pure:
-/// time and randomness are arguments, answers are returned. One thread.
+/// All slots are assigned and released here, so the number of requests in flight at a server is
+/// exact and current for any number of instances. Speeds, lengths and failures are learned from the
+/// responses to all instances, and all waiting requests are served in one order. The functions
+/// below use no clock and no global state: time and seed are arguments, responses are appended to
+/// `out`. Not thread-safe; a broker is used by one thread.
 struct SlotBroker {
   std::int64_t m_epoch = 0;
   Instant m_began{};
-  Duration m_may_serve{};         ///< An instance out of touch serves on for so long.
-  InstanceCount m_instances;      ///< At work, whether they are heard or not.
-  int m_reachable_instances = 0;  ///< Of those, heard lately.
+  Duration m_may_serve{};         ///< Time that an instance without a broker goes on serving.
+  InstanceCount m_instances;      ///< Active instances, whether reachable or not.
+  int m_reachable_instances = 0;  ///< Active instances with a recent message.
   std::map<std::string, SlotPool> m_pools;
-  std::unordered_map<std::string, std::pair<std::string, std::size_t>>
-      m_server_index;                                     ///< By id: pool and index there.
+  /// Pool and index in it, by server id.
+  std::unordered_map<std::string, std::pair<std::string, std::size_t>> m_server_index;
   std::map<std::string, InstanceSlots> m_instance_slots;  ///< By incarnation.
   std::map<std::string, QuotaBucket> m_limits;            ///< By workspace.
-  std::vector<EjectedServer> m_ejected;         ///< To be logged and cleared by the owner.
-  std::vector<LeavingServer> m_leaving_events;  ///< To be logged and cleared by the owner.
-  OutageDetector m_outages;                     ///< Fed by the reports of all instances.
-  std::vector<OutageEvent> m_outage_events;     ///< To be logged and cleared by the owner.
-  /// By pool: looks at all servers that found no room for a request while cold ones were full.
+  std::vector<EjectedServer> m_ejected;                   ///< The owner logs and clears them.
+  std::vector<LeavingServer> m_leaving_events;            ///< The owner logs and clears them.
+  OutageDetector m_outages;                               ///< Fed by the reports of all instances.
+  std::vector<OutageEvent> m_outage_events;               ///< The owner logs and clears them.
+  /// By pool: number of times that a request found no slot at any server while cold servers were at
+  /// their limit.
   std::map<std::string, std::int64_t> m_cold_waits;
-  double m_tokens_per_event = 0;  ///< Learned; zero: not known yet.
-  RegionMap m_regions;            ///< Of all data centres.
+  double m_tokens_per_event = 0;  ///< Learned from reports; zero until known.
+  RegionMap m_regions;            ///< Regions of all data centres.
   RoundTripTable m_round_trip_table;
   std::int64_t m_next_number = 1;
   std::uint64_t m_random = 1;
 };
 
-/// \brief A broker that knows no server and no instance yet.
-/// \param may_serve for how long an instance out of touch goes on serving.
+/// \brief Returns a broker that knows no server and no instance yet.
+/// \param epoch this broker's epoch; earlier brokers have lower ones.
+/// \param seed seed of random choices.
+/// \param may_serve time that an instance without a broker goes on serving.
 [[nodiscard]] SlotBroker MakeSlotBroker(std::int64_t epoch,
                                         std::uint64_t seed,
                                         Duration may_serve,
                                         Instant now);
 
-/// \brief Takes the whole list of servers. What is in flight and learned stays with their ids. Of a
-/// server that started again only its pace stays: what was in flight at its earlier life no longer
-/// counts, nor do later reports of that.
+/// \brief Replaces the list of servers. Requests in flight and learned values are kept by server
+/// id. For a restarted server only the learned performance is kept: requests in flight at its
+/// earlier process and later reports of them no longer count.
 void SetServers(SlotBroker& broker, const std::vector<BackendServer>& servers);
 
-/// \brief Takes the region of each data centre.
+/// \brief Sets the region of each data centre.
 void SetRegions(SlotBroker& broker, RegionMap regions);
 
-/// \brief Takes what each pool says of its cold servers; of a pool that isn't named, nothing.
+/// \brief Sets the slow-start limit of each pool. Pools not named get none.
 void SetSlowStartLimits(SlotBroker& broker, const std::map<std::string, SlowStartLimit>& limits);
 
-/// \brief Takes what the servers' records say of being cold. To be called after `SetServers` and
-/// `SetSlowStartLimits`.
+/// \brief Updates the slow-start state of all servers from their records.
+/// Precondition: `SetServers` and `SetSlowStartLimits` have been called.
 void UpdateSlowStart(SlotBroker& broker, Instant now);
 
-/// \brief Takes all roll-outs that are under way. What is known of those that go on stays.
+/// \brief Replaces the set of roll-outs in progress. The learned state of those that continue is
+/// kept.
 void SetRollouts(SlotBroker& broker,
                  const std::vector<SlotRollout>& rollouts,
                  const ExposureBounds& bounds);
 
-/// \brief Takes all of a batch: what is held and free first, then the new place requests.
-/// Precondition: it is of this broker's epoch, and its sender known or in resync.
+/// \brief Applies a batch: held slots, cancellations and reports first, then the new slot requests.
+/// \param out responses to any instance are appended.
+/// Precondition: the batch is of this broker's epoch, and its sender is known or sends a resync.
 void ApplyBatch(SlotBroker& broker,
                 const std::string& instance,
                 SlotBatch batch,
                 Instant now,
                 std::vector<SlotResponse>& out);
 
-/// \brief One place request; answers may be for others too.
+/// \brief Handles a slot request: assigns a slot, queues the request or rejects it.
+/// \param out the response is appended.
 void RequestSlot(SlotBroker& broker,
                  const std::string& instance,
                  SlotRequest slot_request,
                  Instant now,
                  std::vector<SlotResponse>& out);
 
-/// \brief The caller of a waiting request left, or its instance decided alone.
+/// \brief Removes a waiting request, because its caller left or its instance decided without the
+/// broker. Refunds its cost. Does nothing if the request doesn't wait.
 void CancelRequest(SlotBroker& broker, const std::string& instance, SlotRef ref);
 
-/// \brief Learns from a report; a place that comes free is given to who is next.
+/// \brief Learns from a report, and assigns a slot that comes free to the next waiting requests.
+/// \param out responses to any instance are appended.
 void ApplyReport(SlotBroker& broker,
                  const std::string& instance,
                  const SlotReport& report,
                  Instant now,
                  std::vector<SlotResponse>& out);
 
-/// \brief Takes in a place that was taken without the broker.
+/// \brief Counts a slot that an instance took without the broker.
 void Hold(SlotBroker& broker, const std::string& instance, const HeldSlot& held, Instant now);
 
-/// \brief Takes what a server said of itself to an instance. A word of another life than the one
-/// that is known changes nothing.
-void HearWord(SlotBroker& broker,
-              const std::string& instance,
-              const ServerNotice& notice,
-              Instant now);
+/// \brief Applies a notice that a server sent to an instance. A notice of another process than the
+/// known one is ignored.
+void ApplyServerNotice(SlotBroker& broker,
+                       const std::string& instance,
+                       const ServerNotice& notice,
+                       Instant now);
 
-/// \brief Forgets all of an instance, which then tells anew what it holds.
-/// \param instances those at work, as it last knew.
+/// \brief Forgets all slots and requests of an instance, which then reports its held slots again.
+/// \param instances number of active instances that the sender last knew of.
 void Resync(SlotBroker& broker, const std::string& instance, int instances, Instant now);
 
-/// \brief What an instance knows of a workspace's limit.
-void HearLimit(SlotBroker& broker, const LimitReport& report, Instant now);
+/// \brief Applies an instance's report of a workspace's limit.
+void ApplyLimitReport(SlotBroker& broker, const LimitReport& report, Instant now);
 
-/// \brief An instance is gone: its places are free, its place requests forgotten.
+/// \brief Removes an instance that is gone: frees its slots, drops its slot requests and
+/// assigns the freed slots to waiting requests.
+/// \param out responses to other instances are appended.
 void RemoveInstance(SlotBroker& broker,
                     const std::string& instance,
                     Instant now,
                     std::vector<SlotResponse>& out);
 
-/// \brief Refuses what has waited for long enough, and serves what has found room since: servers
-/// are tried again, and a broker that began lately learns of places.
+/// \brief Rejects waiting requests whose time is over or that no server may serve, and assigns
+/// slots to those that a server can take now: ejected servers are probed again, and a new broker
+/// learns of slots. Call it periodically.
 void TickBroker(SlotBroker& broker, Instant now, std::vector<SlotResponse>& out);
 
-/// \brief Of the instances at work, the share that has told what it holds; one once the time for it
-/// is over. A broker that began lately gives out that share of every server's places.
-[[nodiscard]] double ToldShare(const SlotBroker& broker, Instant now) noexcept;
+/// \brief Returns the share of the active instances that have reported their held slots; one when
+/// the time to report is over. A new broker assigns only that share of each server's slots.
+[[nodiscard]] double ReportedShare(const SlotBroker& broker, Instant now) noexcept;
 
-/// \brief Of the instances at work, the share that is heard. The others may be cut off and serve on
-/// within their even parts of the limits, so the broker grants this share of a limit's rate. With
-/// half of eight instances cut off for the 4.5 s that they may serve, the whole rate here and even
-/// parts there would come to one and a half times a limit.
+/// \brief Returns the share of the active instances that are reachable.
+///
+/// The others may be disconnected and go on serving within their even shares of the limits, so the
+/// broker grants only this share of a limit's rate. With half of eight instances disconnected for
+/// the 4.5 s that they may serve, the whole rate here plus their even shares would add up to one
+/// and a half times a limit.
 [[nodiscard]] double ReachableShare(const SlotBroker& broker) noexcept;
 
-/// \brief How many times the expected answer is twice as long as usual, up to a bound. Learns the
-/// usual length.
+/// \brief Returns how many times the expected response length is double the usual one, from zero up
+/// to `kLengthClasses` - 1, and updates the usual length.
+/// \param usual mean logarithm (base 2) of the expected tokens; updated.
 [[nodiscard]] int LengthClass(double& usual, std::int64_t expected_tokens) noexcept;
 
 }  // namespace poppyway
--- a/packages/policy/include/poppyway/policy/impl/slot_turnover.h
+++ b/packages/policy/include/poppyway/policy/impl/slot_turnover.h
@@ -10,34 +10,37 @@
 
 namespace poppyway {
 
-/// \brief How fast a pool's places come free and are asked for, over about the last second.
+/// \brief How fast a pool's slots come free and are requested, over about the last second.
 struct SlotTurnover {
-  double m_freed = 0;                    ///< Decayed count.
-  double m_held_s = 0;                   ///< Decayed sum of how long those places were held.
-  std::array<double, kTiers> m_asked{};  ///< Decayed counts, by the route's tier.
+  double m_freed = 0;   ///< Decayed count of freed slots.
+  double m_held_s = 0;  ///< Decayed sum of the times that those slots were held, in seconds.
+  std::array<double, kTiers> m_requested{};  ///< Decayed counts of slot requests, by route tier.
   Instant m_at{};
 
   friend bool operator==(const SlotTurnover&, const SlotTurnover&) = default;
 };
 
-/// \brief The flow with one more place freed that was held for `held`.
-[[nodiscard]] SlotTurnover CountFreed(const SlotTurnover& flow,
+/// \brief Returns the turnover with one more slot freed, which was held for `held`.
+[[nodiscard]] SlotTurnover CountFreed(const SlotTurnover& turnover,
                                       Duration held,
                                       Instant now) noexcept;
-/// \brief The flow with one more request that asks for a place.
-[[nodiscard]] SlotTurnover CountAsked(const SlotTurnover& flow,
-                                      Tier route_tier,
-                                      Instant now) noexcept;
-
-/// \brief When a request of this rank gets a place that must first come free: `ahead` of it wait
-/// already, and what is more urgent goes on to arrive as of late and goes first. A request that
-/// is never reached this way gets the longest time that is told, `kLongestWait`.
+/// \brief Returns the turnover with one more slot request.
+[[nodiscard]] SlotTurnover CountRequested(const SlotTurnover& turnover,
+                                          Tier route_tier,
+                                          Instant now) noexcept;
+
+/// \brief Forecasts the time until a request of this tier gets a slot that has yet to come free.
+/// Requests of more urgent tiers are expected to go on arriving at their recent rate and are served
+/// first.
 ///
-/// Places come free at the rate of late or, if that is more, at the rate that those `taken` now
-/// come to by how long places are held (Little's law): after a calm second the rate of late says
-/// too little of what a full pool frees. \return nullopt while too few places have come free to
-/// tell.
-[[nodiscard]] std::optional<Duration> ForecastWait(const SlotTurnover& flow,
+/// Slots come free at the recent rate or, if that is higher, at the rate that follows from the
+/// taken slots and the mean time that a slot is held (Little's law): after an idle second the
+/// recent rate underestimates what a full pool frees.
+/// \param ahead number of requests that wait before this one.
+/// \param taken number of slots taken now.
+/// \return `kLongestWait` if the request would never be served; nullopt while too few slots have
+/// come free for a forecast.
+[[nodiscard]] std::optional<Duration> ForecastWait(const SlotTurnover& turnover,
                                                    Tier route_tier,
                                                    int ahead,
                                                    int taken) noexcept;
--- a/packages/policy/include/poppyway/policy/impl/starvation_guard.h
+++ b/packages/policy/include/poppyway/policy/impl/starvation_guard.h
@@ -11,51 +11,53 @@
 
 namespace poppyway {
 
-/// \brief Length classes of expected answers: `LengthClass` gives 0 to one less than this.
+/// \brief Number of length classes of expected responses: `LengthClass` returns 0 to 3.
 inline constexpr int kLengthClasses = 4;
 
-/// \brief The groups that a place request belongs to.
+/// \brief The groups that a slot request belongs to.
 struct ShareGroup {
   Tier m_route_tier = 0;
-  int m_length_class = 0;   ///< Of its expected answer, by class.
-  std::string m_workspace;  ///< Empty: it has none.
+  int m_length_class = 0;   ///< Length class of the expected response.
+  std::string m_workspace;  ///< Empty if the request belongs to no workspace.
 
   friend bool operator==(const ShareGroup&, const ShareGroup&) = default;
 };
 
-/// \brief How many of a group's place requests of late were served. Counts decay.
+/// \brief Decaying counts of a group's recent slot requests and of those served.
 struct ServedCount {
-  double m_asked = 0;
+  double m_requested = 0;
   double m_served = 0;
   Instant m_at{};
 
   friend bool operator==(const ServedCount&, const ServedCount&) = default;
 };
 
-/// \brief Served shares of a pool, by group.
+/// \brief Counts of a pool's slot requests, by group.
 struct ServedShares {
   ServedCount m_all;
-  std::array<ServedCount, kTiers> m_by_rank;
+  std::array<ServedCount, kTiers> m_by_tier;
   std::array<std::array<ServedCount, kLengthClasses>, kTiers> m_by_length;
   std::map<std::string, ServedCount> m_by_workspace;
 };
 
-/// \brief Counts a place request that arrives.
-void CountAsked(ServedShares& shares, const ShareGroup& group, Instant now);
-/// \brief Counts one that got its place, or has been promised the next.
+/// \brief Counts a new slot request.
+void CountRequested(ServedShares& shares, const ShareGroup& group, Instant now);
+/// \brief Counts a request that was assigned a slot, or an underserved one that is queued first.
 void CountServed(ServedShares& shares, const ShareGroup& group, Instant now);
-/// \brief One that had been promised a place got none: it waited too long or its caller left.
+/// \brief Reverts `CountServed` for an underserved request that got no slot because its wait or its
+/// caller's connection ended.
 void CountUnserved(ServedShares& shares, const ShareGroup& group, Instant now);
 
-/// \brief True if the group has been served so much less than others that its next request goes
-/// first, whatever its rank.
+/// \brief Returns true if the group has been served so much less than others that its next request
+/// goes first, whatever its tier.
 ///
-/// Strict rank turns a lack of a tenth of a pool's places into no service at all for the least
-/// urgent kind, although all of its requests together need 3 in 100 of the place time; and shorter
-/// answers first does the same to the longest of a kind. So a rank and a workspace are owed a place
-/// while they are served under `kFloor` as often as the pool's requests together, and a length
-/// class while it is served under `kLengthFloor` as often as its rank. A rank is owed none while
-/// something more urgent is served less often than it: the floor never turns the order round.
-[[nodiscard]] bool IsOwedSlot(const ServedShares& shares, const ShareGroup& group);
+/// With strict priority, a shortage of a tenth of a pool's slots leaves the least urgent tier
+/// without any service, although all of its requests together need only 3 in 100 of the slot time;
+/// serving shorter responses first does the same to the longest ones of a tier. So a tier or a
+/// workspace is underserved while its served share is below `kFloor` times that of all the pool's
+/// requests, and a length class while its share is below `kLengthFloor` times that of its tier. A
+/// tier doesn't count as underserved while a more urgent tier has a lower share, so the floor never
+/// reverses the order.
+[[nodiscard]] bool IsUnderserved(const ServedShares& shares, const ShareGroup& group);
 
 }  // namespace poppyway
--- a/packages/policy/src/instance_share.cc
+++ b/packages/policy/src/instance_share.cc
@@ -6,10 +6,11 @@
 
 namespace poppyway {
 
-int EvenShare(int places, int instances, std::uint64_t turn) noexcept {
+int EvenShare(int slots, int instances, std::uint64_t rotation) noexcept {
   const int sharers = std::max(1, instances);
-  const bool one_more = static_cast<int>(turn % static_cast<unsigned>(sharers)) < places % sharers;
-  return places / sharers + (one_more ? 1 : 0);
+  const bool one_more =
+      static_cast<int>(rotation % static_cast<unsigned>(sharers)) < slots % sharers;
+  return slots / sharers + (one_more ? 1 : 0);
 }
 
 InstanceCount CountInstances(const InstanceCount& before,
--- a/packages/policy/src/server_eligibility.cc
+++ b/packages/policy/src/server_eligibility.cc
@@ -55,8 +55,8 @@
     return IneligibleReason::kRollout;
   if (tried)
     return IneligibleReason::kTried;
-  // Before all that is only believed of a server: its own wish is kept even where every server of
-  // the pool asks for it and the request has to be refused.
+  // The server's own request to back off comes before anything inferred about it. It is kept even
+  // if every server of the pool asks for it and the request must be rejected.
   if (server.m_backs_off)
     return IneligibleReason::kBackOff;
   if (server.m_cold_full)
--- a/packages/policy/src/server_notice.cc
+++ b/packages/policy/src/server_notice.cc
@@ -6,10 +6,10 @@
 
 namespace poppyway {
 
-void TakeWord(ServerNotices& notices,
-              const std::string& instance,
-              const ServerNotice& notice,
-              Instant now) {
+void RecordNotice(ServerNotices& notices,
+                  const std::string& instance,
+                  const ServerNotice& notice,
+                  Instant now) {
   notices.m_leaving = notices.m_leaving || notice.m_leaving;
   std::erase_if(notices.m_back_off_until, [now](const auto& entry) { return entry.second <= now; });
   if (notice.m_back_off <= Duration(0))
@@ -21,10 +21,10 @@
 Duration BackOffLeft(const ServerNotices& notices,
                      const std::string& instance,
                      Instant now) noexcept {
-  const auto asked = notices.m_back_off_until.find(instance);
-  if (asked == notices.m_back_off_until.end())
+  const auto found = notices.m_back_off_until.find(instance);
+  if (found == notices.m_back_off_until.end())
     return Duration(0);
-  return std::max(Duration(0), asked->second - now);
+  return std::max(Duration(0), found->second - now);
 }
 
 bool AnyBackOff(const ServerNotices& notices, Instant now) noexcept {
--- a/packages/policy/src/slot_broker.cc
+++ b/packages/policy/src/slot_broker.cc
@@ -8,13 +8,15 @@
 namespace poppyway {
 namespace {
 
-// After a change of broker instances find the new one within some heartbeats; who is silent for
-// longer holds little that others could run into.
+// After a change of broker, instances connect to the new one within some heartbeats. An instance
+// that takes longer holds few slots.
 constexpr Duration kResyncTime{1'000'000};
-constexpr double kEventGain = 0.02;          // Of the size of events: some fifty answers back.
-constexpr Duration kHeardLately{1'200'000};  // Two heartbeats and some delay.
+// Gain of the mean event size, which averages over some fifty responses.
+constexpr double kEventGain = 0.02;
+// Two heartbeats plus some delay.
+constexpr Duration kReachableTimeout{1'200'000};
 
-/// The pool and index of a server; a null pool if it is not known (any more).
+/// Returns the pool and index of a server; a null pool if the server is unknown.
 std::pair<SlotPool*, std::size_t> FindServer(SlotBroker& broker, const std::string& id) {
   const auto found = broker.m_server_index.find(id);
   if (found == broker.m_server_index.end())
@@ -22,20 +24,20 @@
   return {&broker.m_pools[found->second.first], found->second.second};
 }
 
-/// True if `started_ms` is the birth of the server's life that is known. A birth that one side
-/// doesn't tell is that of the life known.
-bool IsSameLife(std::int64_t started_ms, const BackendServer& server) {
+/// Returns true if `started_ms` is the start time of the server's known process. A start time that
+/// isn't reported matches any.
+bool IsSameProcess(std::int64_t started_ms, const BackendServer& server) {
   return started_ms == 0 || server.m_started_ms == 0 || started_ms == server.m_started_ms;
 }
 
-/// True if the place is at the life of its server that is known.
-bool AtThisLife(const HeldSlot& held, const BackendServer& server) {
-  return IsSameLife(held.m_started_ms, server);
+/// Returns true if the slot is at the known process of its server.
+bool IsAtCurrentProcess(const HeldSlot& held, const BackendServer& server) {
+  return IsSameProcess(held.m_started_ms, server);
 }
 
-/// Counts places that are held at a later life than was known until now, and gives those at a life
-/// whose birth is told only now that birth.
-void TakeBirth(SlotBroker& broker, const std::string& id, std::int64_t before) {
+/// Counts the slots that are held at a process newer than the one known before. Slots held at a
+/// process whose start time wasn't known get that start time.
+void UpdateProcessStart(SlotBroker& broker, const std::string& id, std::int64_t before) {
   const auto [pool, i] = FindServer(broker, id);
   const std::int64_t started_ms = pool->m_servers[i].m_started_ms;
   for (auto& [name, holder] : broker.m_instance_slots) {
@@ -53,18 +55,18 @@
   }
 }
 
-/// What is known of a server's new life from its earlier one: nothing but its pace, which its
-/// engine will likely have again.
-ServerView ViewOfNewLife(const ServerView& earlier, bool same_pool) {
+/// Returns the view of a restarted server. Only its performance is kept, since the new process
+/// likely performs like the old one.
+ServerView ViewAfterRestart(const ServerView& earlier, bool same_pool) {
   ServerView view;
   if (same_pool)
     view.m_performance = earlier.m_performance;
   return view;
 }
 
-/// Frees what is kept of times that are over. A server that has asked all instances once and never
-/// again would keep one for each.
-void DropBackOffs(SlotPool& pool, Instant now) {
+/// Frees expired back-offs. A server that asked every instance once and never again would otherwise
+/// keep one for each.
+void DropExpiredBackOffs(SlotPool& pool, Instant now) {
   if (pool.m_back_off_until == Instant{} || now < pool.m_back_off_until)
     return;
   pool.m_back_off_until = {};
@@ -72,23 +74,23 @@
     notices.m_back_off_until.clear();
 }
 
-void CountHeard(SlotBroker& broker, Instant now) {
-  const auto heard = [now](const auto& entry) {
-    return now - entry.second.m_last_heard <= kHeardLately;
+void CountReachableInstances(SlotBroker& broker, Instant now) {
+  const auto is_reachable = [now](const auto& entry) {
+    return now - entry.second.m_last_heard <= kReachableTimeout;
   };
   broker.m_reachable_instances = static_cast<int>(
-      std::count_if(broker.m_instance_slots.begin(), broker.m_instance_slots.end(), heard));
+      std::count_if(broker.m_instance_slots.begin(), broker.m_instance_slots.end(), is_reachable));
   broker.m_instances =
       CountInstances(broker.m_instances, broker.m_reachable_instances, broker.m_may_serve, now);
 }
 
-void FreePlace(SlotBroker& broker, const HeldSlot& held, Instant now) {
+void FreeSlot(SlotBroker& broker, const HeldSlot& held, Instant now) {
   const auto [pool, i] = FindServer(broker, held.m_server);
-  if (pool == nullptr || !AtThisLife(held, pool->m_servers[i]))
+  if (pool == nullptr || !IsAtCurrentProcess(held, pool->m_servers[i]))
     return;
-  // A place at an evacuated server comes free for nobody.
+  // A slot at an evacuated server comes free for no other request.
   if (held.m_taken != Instant{} && !pool->m_servers[i].m_evacuated)
-    pool->m_flow = CountFreed(pool->m_flow, now - held.m_taken, now);
+    pool->m_turnover = CountFreed(pool->m_turnover, now - held.m_taken, now);
   --pool->m_views[i].m_other_in_flight;
   pool->m_views[i].m_pending_prefill_tokens -= held.m_pending_prefill_tokens;
 }
@@ -112,7 +114,7 @@
 }
 
 int LengthClass(double& usual, std::int64_t expected_tokens) noexcept {
-  constexpr double kGain = 0.02;  // The usual length is that of some fifty requests.
+  constexpr double kGain = 0.02;  // The mean covers some fifty requests.
   constexpr int kLongest = kLengthClasses - 1;
   if (expected_tokens <= 0)
     return 0;
@@ -130,7 +132,7 @@
   return broker;
 }
 
-double ToldShare(const SlotBroker& broker, Instant now) noexcept {
+double ReportedShare(const SlotBroker& broker, Instant now) noexcept {
   return now - broker.m_began >= kResyncTime ? 1 : ReachableShare(broker);
 }
 
@@ -148,14 +150,15 @@
     SlotPool& kept = broker.m_pools[name];
     kept.m_waiting = std::move(pool.m_waiting);
     kept.m_mean_log_tokens = pool.m_mean_log_tokens;
-    kept.m_flow = pool.m_flow;
+    kept.m_turnover = pool.m_turnover;
     kept.m_shares = std::move(pool.m_shares);
     kept.m_trial = std::move(pool.m_trial);
     kept.m_slow_start_limit = pool.m_slow_start_limit;
     kept.m_back_off_until = pool.m_back_off_until;
-    // Parts go by index, which changes: what engines keep is found again by use.
+    // Cached segments are recorded by server index, which changes. The records are rebuilt by use.
   }
-  std::vector<std::pair<std::string, std::int64_t>> births;  // Told since, with what was known.
+  // Servers with a newer start time than known, and the start time known before.
+  std::vector<std::pair<std::string, std::int64_t>> restarts;
   for (const BackendServer& server : servers) {
     SlotPool& pool = broker.m_pools[server.m_pool];
     ServerView view;
@@ -173,9 +176,9 @@
       const std::int64_t started_ms = old.m_servers[known->second.second].m_started_ms;
       appeared = server.m_started_ms != started_ms;
       if (server.m_started_ms > started_ms)
-        births.emplace_back(server.m_id, started_ms);
+        restarts.emplace_back(server.m_id, started_ms);
       if (started_ms > 0 && server.m_started_ms > started_ms) {
-        view = ViewOfNewLife(view, known->second.first == server.m_pool);
+        view = ViewAfterRestart(view, known->second.first == server.m_pool);
         health = {};
         notices = {};
       }
@@ -186,16 +189,16 @@
     view.m_own_in_flight = 0;
     broker.m_server_index[server.m_id] = {server.m_pool, pool.m_servers.size()};
     pool.m_servers.push_back(server);
-    // The registry's word may be of before.
+    // The registry's record may be older than the notice.
     pool.m_servers.back().m_leaving = server.m_leaving || notices.m_leaving;
     pool.m_views.push_back(view);
     pool.m_health.push_back(health);
     pool.m_notices.push_back(std::move(notices));
     pool.m_slow_starts.push_back(std::move(slow_start));
   }
-  for (const auto& [id, before] : births)
-    TakeBirth(broker, id, before);
-  WatchServers(broker);
+  for (const auto& [id, before] : restarts)
+    UpdateProcessStart(broker, id, before);
+  UpdateOutageServerCounts(broker);
 }
 
 void SetRegions(SlotBroker& broker, RegionMap regions) {
@@ -216,10 +219,10 @@
                 std::vector<SlotResponse>& out) {
   if (batch.m_resync)
     Resync(broker, instance, batch.m_instances, now);
-  for (const LimitReport& word : batch.m_limits)
-    HearLimit(broker, word, now);
+  for (const LimitReport& report : batch.m_limits)
+    ApplyLimitReport(broker, report, now);
   for (const ServerNotice& notice : batch.m_notices)
-    HearWord(broker, instance, notice, now);
+    ApplyServerNotice(broker, instance, notice, now);
   for (const HeldSlot& held : batch.m_held)
     Hold(broker, instance, held, now);
   for (const SlotRef ref : batch.m_cancelled_requests)
@@ -247,18 +250,19 @@
             .first->second;
     const double share = ReachableShare(broker);
     Withhold(limit, slot_request.m_limit, share, broker.m_may_serve, now);
-    const QuotaLimit heard{slot_request.m_limit.m_rate_per_s * share, slot_request.m_limit.m_burst};
-    if (!Spend(limit, heard, slot_request.m_quota, now)) {
+    const QuotaLimit granted{slot_request.m_limit.m_rate_per_s * share,
+                             slot_request.m_limit.m_burst};
+    if (!Spend(limit, granted, slot_request.m_quota, now)) {
       out.push_back(
-          RefusalOf(instance, slot_request.m_ref, SlotVerdict::kOverLimit, limit.m_tokens));
+          MakeRejection(instance, slot_request.m_ref, SlotVerdict::kOverLimit, limit.m_tokens));
       return;
     }
   } else {
     slot_request.m_workspace.clear();
   }
-  if (pool.m_servers.empty() || NoneMayServe(pool, slot_request.m_home_regions)) {
-    GiveBack(broker, slot_request);
-    out.push_back(RefusalOf(instance, slot_request.m_ref, SlotVerdict::kNoServer, 0));
+  if (pool.m_servers.empty() || NoServerMayServe(pool, slot_request.m_home_regions)) {
+    RefundRequest(broker, slot_request);
+    out.push_back(MakeRejection(instance, slot_request.m_ref, SlotVerdict::kNoServer, 0));
     return;
   }
   RefreshTypical(pool, now);
@@ -267,22 +271,22 @@
         static_cast<double>(slot_request.m_expected_tokens) / broker.m_tokens_per_event;
   const Tier route_tier = slot_request.m_shape.m_tier;
   group.m_length_class =
-      LengthClass(pool.m_mean_log_tokens[RankIndex(route_tier)], slot_request.m_expected_tokens);
-  pool.m_flow = CountAsked(pool.m_flow, route_tier, now);
-  CountAsked(pool.m_shares, group, now);
-  const bool owed = IsOwedSlot(pool.m_shares, group);
-  if (owed)
+      LengthClass(pool.m_mean_log_tokens[TierIndex(route_tier)], slot_request.m_expected_tokens);
+  pool.m_turnover = CountRequested(pool.m_turnover, route_tier, now);
+  CountRequested(pool.m_shares, group, now);
+  const bool underserved = IsUnderserved(pool.m_shares, group);
+  if (underserved)
     CountServed(pool.m_shares, group, now);
-  const SlotQueueOrder order{owed, slot_request.m_tier, route_tier, group.m_length_class,
+  const SlotQueueOrder order{underserved, slot_request.m_tier, route_tier, group.m_length_class,
                              broker.m_next_number++};
   QueuedSlotRequest waiting{instance, std::move(slot_request), std::move(group), order, now, {},
                             false};
-  const bool yields = !owed && Yields(pool, route_tier);
-  if (std::optional<SlotResponse> answer = TryAll(broker, pool, waiting, yields, now)) {
-    out.push_back(std::move(*answer));
+  const bool yields = !underserved && MustYield(pool, route_tier);
+  if (std::optional<SlotResponse> response = TryAssignSlot(broker, pool, waiting, yields, now)) {
+    out.push_back(std::move(*response));
     return;
   }
-  WaitOrRefuse(broker, pool, std::move(waiting), now, out);
+  QueueOrReject(broker, pool, std::move(waiting), now, out);
 }
 
 void CancelRequest(SlotBroker& broker, const std::string& instance, SlotRef ref) {
@@ -295,8 +299,8 @@
   known.m_waiting.erase(found);
   if (waiting == pool.m_waiting.end())
     return;
-  GiveBack(broker, waiting->second.m_request);
-  if (waiting->first.m_owed)
+  RefundRequest(broker, waiting->second.m_request);
+  if (waiting->first.m_underserved)
     CountUnserved(pool.m_shares, waiting->second.m_group, pool.m_shares.m_all.m_at);
   pool.m_waiting.erase(waiting);
 }
@@ -313,21 +317,22 @@
     return;
   HeldSlot& held = found->second;
   const auto [pool, i] = FindServer(broker, held.m_server);
-  const bool counts = pool != nullptr && AtThisLife(held, pool->m_servers[i]);
+  const bool counts = pool != nullptr && IsAtCurrentProcess(held, pool->m_servers[i]);
   if (pool != nullptr) {
-    const SlotReport at_server = LearnReach(broker, held, pool->m_servers[i].m_region, report);
+    const SlotReport at_server = LearnRoundTrip(broker, held, pool->m_servers[i].m_region, report);
     LearnVersion(*pool, held, at_server, now);
     if (counts)
-      pool->m_views[i].m_performance = LearnPace(pool->m_views[i].m_performance, at_server);
+      pool->m_views[i].m_performance = LearnPerformance(pool->m_views[i].m_performance, at_server);
   }
   if (counts) {
-    LearnPath(broker, instance, held, report, now);
+    LearnReachability(broker, instance, held, report, now);
     const bool old = SentBeforeRecovery(broker.m_outages, pool->m_servers[i].m_data_centre,
                                         held.m_server, held.m_taken);
-    // A failure of a request that was sent before the server's return says nothing of it now.
-    const bool tells =
+    // A failure of a request that was sent before the server recovered says nothing about its
+    // current health.
+    const bool conclusive =
         report.m_health_signal && (!old || report.m_health_signal == HealthSignal::kSuccess);
-    if (tells) {
+    if (conclusive) {
       LearnHealth(broker, *pool, i, {instance, *report.m_health_signal}, now);
       ObserveRestartSign(*pool, i, report, now);
     }
@@ -343,47 +348,47 @@
   const auto limit = broker.m_limits.find(held.m_workspace);
   if (!report.m_may_have_run && limit != broker.m_limits.end())
     Refund(limit->second, held.m_cost);
-  FreePlace(broker, held, now);
+  FreeSlot(broker, held, now);
   known.m_held.erase(found);
   if (counts && !pool->m_waiting.empty())
-    ServeServer(broker, *pool, i, now, out);
+    ServeQueueAtServer(broker, *pool, i, now, out);
 }
 
 void Hold(SlotBroker& broker, const std::string& instance, const HeldSlot& held, Instant now) {
   InstanceSlots& known = broker.m_instance_slots[instance];
   known.m_last_heard = now;
-  const auto [place, added] = known.m_held.emplace(held.m_ref, held);
+  const auto [entry, added] = known.m_held.emplace(held.m_ref, held);
   if (!added)
     return;
   const auto [pool, i] = FindServer(broker, held.m_server);
   if (pool == nullptr)
     return;
-  place->second.m_version = pool->m_servers[i].m_version;
-  if (!AtThisLife(held, pool->m_servers[i]))
+  entry->second.m_version = pool->m_servers[i].m_version;
+  if (!IsAtCurrentProcess(held, pool->m_servers[i]))
     return;
   if (held.m_started_ms == 0)
-    place->second.m_started_ms = pool->m_servers[i].m_started_ms;
+    entry->second.m_started_ms = pool->m_servers[i].m_started_ms;
   ++pool->m_views[i].m_other_in_flight;
   pool->m_views[i].m_pending_prefill_tokens += held.m_pending_prefill_tokens;
   CountPlaced(*pool, i);
 }
 
-void HearWord(SlotBroker& broker,
-              const std::string& instance,
-              const ServerNotice& notice,
-              Instant now) {
+void ApplyServerNotice(SlotBroker& broker,
+                       const std::string& instance,
+                       const ServerNotice& notice,
+                       Instant now) {
   broker.m_instance_slots[instance].m_last_heard = now;
   const auto [pool, i] = FindServer(broker, notice.m_server);
-  if (pool == nullptr || !IsSameLife(notice.m_started_ms, pool->m_servers[i]))
+  if (pool == nullptr || !IsSameProcess(notice.m_started_ms, pool->m_servers[i]))
     return;
-  TakeWord(pool->m_notices[i], instance, notice, now);
+  RecordNotice(pool->m_notices[i], instance, notice, now);
   pool->m_back_off_until = std::max(pool->m_back_off_until, now + notice.m_back_off);
   BackendServer& server = pool->m_servers[i];
   if (!notice.m_leaving || server.m_leaving)
     return;
   server.m_leaving = true;
   broker.m_leaving_events.push_back({server.m_id, instance});
-  WatchServers(broker);
+  UpdateOutageServerCounts(broker);
 }
 
 void Resync(SlotBroker& broker, const std::string& instance, int instances, Instant now) {
@@ -392,7 +397,7 @@
   const auto found = broker.m_instance_slots.find(instance);
   if (found != broker.m_instance_slots.end()) {
     for (const auto& [ref, held] : found->second.m_held)
-      FreePlace(broker, held, now);
+      FreeSlot(broker, held, now);
     const std::unordered_map<SlotRef, std::pair<std::string, SlotQueueOrder>> waiting =
         found->second.m_waiting;
     for (const auto& [ref, where] : waiting)
@@ -400,14 +405,14 @@
   }
   broker.m_instance_slots[instance] = {};
   broker.m_instance_slots[instance].m_last_heard = now;
-  CountHeard(broker, now);
+  CountReachableInstances(broker, now);
 }
 
-void HearLimit(SlotBroker& broker, const LimitReport& report, Instant now) {
+void ApplyLimitReport(SlotBroker& broker, const LimitReport& report, Instant now) {
   QuotaBucket& limit =
       broker.m_limits.try_emplace(report.m_workspace, BeginLimit(report.m_limit, broker.m_began))
           .first->second;
-  // What this broker said itself is no news.
+  // A level that this broker reported itself adds nothing.
   if (report.m_epoch != 0 && report.m_epoch < broker.m_epoch)
     TakeOver(limit, report.m_limit, report.m_limit_left, now - report.m_age, now);
   ChargeLate(limit, report.m_limit, report.m_charged_without_broker);
@@ -420,19 +425,19 @@
   Resync(broker, instance, 0, now);
   broker.m_instance_slots.erase(instance);
   for (auto& [name, pool] : broker.m_pools)
-    ServePool(broker, pool, now, out);
+    ServePoolQueue(broker, pool, now, out);
 }
 
 void TickBroker(SlotBroker& broker, Instant now, std::vector<SlotResponse>& out) {
-  CountHeard(broker, now);
-  SettleOutages(broker, now);
+  CountReachableInstances(broker, now);
+  EndRecoveredOutages(broker, now);
   for (auto& [name, pool] : broker.m_pools) {
-    DropBackOffs(pool, now);
+    DropExpiredBackOffs(pool, now);
     if (pool.m_waiting.empty())
       continue;
-    RefuseUnservable(broker, pool, now, out);
-    ExpirePool(broker, pool, now, out);
-    ServePool(broker, pool, now, out);
+    RejectUnservable(broker, pool, now, out);
+    RejectExpired(broker, pool, now, out);
+    ServePoolQueue(broker, pool, now, out);
   }
 }
 
--- a/packages/policy/src/slot_learn.cc
+++ b/packages/policy/src/slot_learn.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What the broker of places learns from reports.
+// What the slot broker learns from reports.
 #include "slot_internal.h"
 
 namespace poppyway {
@@ -8,19 +8,19 @@
 void LearnHealth(SlotBroker& broker,
                  SlotPool& pool,
                  std::size_t i,
-                 const HealthReport& word,
+                 const HealthReport& report,
                  Instant now) {
   ServerHealth& health = pool.m_health[i];
-  const bool avoided = IsEjected(health, now);
-  health = Observe(health, word.m_health_signal, now);
-  if (!avoided && IsEjected(health, now))
-    broker.m_ejected.push_back({pool.m_servers[i].m_id, word.m_instance, health});
+  const bool was_ejected = IsEjected(health, now);
+  health = Observe(health, report.m_health_signal, now);
+  if (!was_ejected && IsEjected(health, now))
+    broker.m_ejected.push_back({pool.m_servers[i].m_id, report.m_instance, health});
 }
 
-SlotReport LearnReach(SlotBroker& broker,
-                      const HeldSlot& held,
-                      const std::string& region,
-                      const SlotReport& report) {
+SlotReport LearnRoundTrip(SlotBroker& broker,
+                          const HeldSlot& held,
+                          const std::string& region,
+                          const SlotReport& report) {
   ObserveConnect(broker.m_round_trip_table, held.m_from, region, report.m_connect);
   const Duration trip = RoundTrip(broker.m_round_trip_table, held.m_from, region);
   SlotReport at_server = report;
@@ -31,15 +31,17 @@
   return at_server;
 }
 
-ServerPerformance LearnPace(const ServerPerformance& before, const SlotReport& report) {
-  ServerPerformance pace = before;
+ServerPerformance LearnPerformance(const ServerPerformance& before, const SlotReport& report) {
+  ServerPerformance performance = before;
   if (report.m_time_to_first_event > Duration(0))
-    pace = ObserveFirstEvent(pace, report.m_tokens_read, report.m_time_to_first_event);
+    performance =
+        ObserveFirstEvent(performance, report.m_tokens_read, report.m_time_to_first_event);
   if (report.m_service > Duration(0))
-    pace = ObserveService(pace, report.m_service);
+    performance = ObserveService(performance, report.m_service);
   if (report.m_events > 1)
-    pace = ObserveStream(pace, report.m_events - 1, report.m_span, report.m_longest_pause);
-  return pace;
+    performance =
+        ObserveStream(performance, report.m_events - 1, report.m_span, report.m_longest_pause);
+  return performance;
 }
 
 }  // namespace poppyway
--- a/packages/policy/src/slot_outage.cc
+++ b/packages/policy/src/slot_outage.cc
@@ -1,28 +1,29 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What the broker of places knows of data centres that are lost or cut off as a whole.
+// How the slot broker handles data centres that are down or disconnected as a whole.
 #include "slot_internal.h"
 
 namespace poppyway {
 namespace {
 
-// A trial that finds no connection costs its request 300 ms; it has to be of use still after it.
-constexpr Duration kLeastLeft{1'000'000};
+// A probe that finds no connection costs its request 300 ms; enough time must be left to retry it
+// elsewhere.
+constexpr Duration kMinTimeLeft{1'000'000};
 
-/// Something came from the server, if only a refusal.
-bool IsHeard(const SlotReport& report) {
+/// Returns true if the server sent anything, even a rejection.
+bool ServerResponded(const SlotReport& report) {
   const bool declined = report.m_health_signal == HealthSignal::kFailure && !report.m_may_have_run;
   return report.m_time_to_first_event > Duration(0) || report.m_connect > Duration(0) ||
          report.m_failed || report.m_health_signal == HealthSignal::kSuccess || declined;
 }
 
-void TakeNews(SlotBroker& broker, OutageEvent event) {
+void AppendOutageEvent(SlotBroker& broker, OutageEvent event) {
   if (event.m_transition != OutageTransition::kNone)
     broker.m_outage_events.push_back(std::move(event));
 }
 
-/// What was learned of the server's health was the data centre's.
-void ForgetFailures(SlotBroker& broker, const std::string& server) {
+/// Resets the server's health: the failures were those of its data centre.
+void ResetFailures(SlotBroker& broker, const std::string& server) {
   const auto& [name, i] = broker.m_server_index.at(server);
   ServerHealth& health = broker.m_pools.at(name).m_health[i];
   health.m_failures = 0;
@@ -32,26 +33,26 @@
 
 }  // namespace
 
-void LearnPath(SlotBroker& broker,
-               const std::string& instance,
-               const HeldSlot& held,
-               const SlotReport& report,
-               Instant now) {
+void LearnReachability(SlotBroker& broker,
+                       const std::string& instance,
+                       const HeldSlot& held,
+                       const SlotReport& report,
+                       Instant now) {
   const auto found = broker.m_server_index.find(held.m_server);
   if (found == broker.m_server_index.end())
     return;
   const auto& [name, i] = found->second;
-  const bool heard = IsHeard(report);
-  const bool says_nothing =
-      !heard && (!report.m_health_signal || report.m_health_signal == HealthSignal::kSuccess);
-  if (says_nothing)
+  const bool responded = ServerResponded(report);
+  const bool inconclusive =
+      !responded && (!report.m_health_signal || report.m_health_signal == HealthSignal::kSuccess);
+  if (inconclusive)
     return;
   const std::string& data_centre = broker.m_pools.at(name).m_servers[i].m_data_centre;
   OutageEvent event = RecordReport(
-      broker.m_outages, {data_centre, held.m_server, instance, heard, held.m_taken}, now);
+      broker.m_outages, {data_centre, held.m_server, instance, responded, held.m_taken}, now);
   if (event.m_transition == OutageTransition::kServerResponded)
-    ForgetFailures(broker, held.m_server);
-  TakeNews(broker, std::move(event));
+    ResetFailures(broker, held.m_server);
+  AppendOutageEvent(broker, std::move(event));
 }
 
 bool IsSuspect(const OutageDetector& outages, const SlotPool& pool, std::size_t i, Instant now) {
@@ -60,28 +61,28 @@
          IsEjected(pool.m_health[i], now);
 }
 
-std::optional<std::size_t> ChooseOutageTrial(const SlotBroker& broker,
+std::optional<std::size_t> ChooseOutageProbe(const SlotBroker& broker,
                                              const SlotPool& pool,
                                              const QueuedSlotRequest& waiting,
                                              const RequestShape& shape,
                                              Instant now) {
-  if (broker.m_outages.m_suspect_count == 0 || shape.m_left < kLeastLeft)
+  if (broker.m_outages.m_suspect_count == 0 || shape.m_left < kMinTimeLeft)
     return std::nullopt;
-  const ServingGroup side = ServingGroupOf(pool);
+  const ServingGroup group = ServingGroupOf(pool);
   for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
     const BackendServer& server = pool.m_servers[i];
     if (!MayProbe(broker.m_outages, server.m_data_centre, server.m_id, now))
       continue;
-    const bool only_lost =
-        CheckServerEligibility(broker.m_outages, pool, i, waiting, KeptFromWork(pool, side, i),
-                               now) == IneligibleReason::kSuspect;
-    if (only_lost && HasRoom(pool.m_views[i], shape, pool.m_typical))
+    const bool only_suspect = CheckServerEligibility(broker.m_outages, pool, i, waiting,
+                                                     IsExcludedByRollout(pool, group, i),
+                                                     now) == IneligibleReason::kSuspect;
+    if (only_suspect && HasRoom(pool.m_views[i], shape, pool.m_typical))
       return i;
   }
   return std::nullopt;
 }
 
-void WatchServers(SlotBroker& broker) {
+void UpdateOutageServerCounts(SlotBroker& broker) {
   std::map<std::string, int> servers;
   for (const auto& [name, pool] : broker.m_pools) {
     for (const BackendServer& server : pool.m_servers) {
@@ -92,10 +93,10 @@
   SetWatched(broker.m_outages, servers);
 }
 
-void SettleOutages(SlotBroker& broker, Instant now) {
+void EndRecoveredOutages(SlotBroker& broker, Instant now) {
   OutageEvent event;
   while (EndRecoveredOutage(broker.m_outages, now, event))
-    TakeNews(broker, event);
+    AppendOutageEvent(broker, event);
 }
 
 }  // namespace poppyway
--- a/packages/policy/src/slot_prompt_segments.cc
+++ b/packages/policy/src/slot_prompt_segments.cc
@@ -7,24 +7,25 @@
 namespace poppyway {
 namespace {
 
-constexpr std::size_t kMostParts = 65'536;  // Bounds the memory to some 10 MB.
-constexpr Duration kPartAge{60'000'000};    // By then an engine at work has given it away.
+constexpr std::size_t kMaxSegments = 65'536;      // Bounds the memory to some 10 MB.
+constexpr Duration kSegmentLifetime{60'000'000};  // A busy engine has evicted the segment by then.
 
-void ForgetOld(SlotPool& pool, Instant now) {
+void DropOldSegments(SlotPool& pool, Instant now) {
   std::erase_if(pool.m_prompt_segments, [now](const auto& entry) {
-    return std::all_of(entry.second.begin(), entry.second.end(),
-                       [now](const auto& keeper) { return now - keeper.second > kPartAge; });
+    return std::all_of(entry.second.begin(), entry.second.end(), [now](const auto& keeper) {
+      return now - keeper.second > kSegmentLifetime;
+    });
   });
-  if (pool.m_prompt_segments.size() > kMostParts)
+  if (pool.m_prompt_segments.size() > kMaxSegments)
     pool.m_prompt_segments.clear();
 }
 
 }  // namespace
 
-void SetKeptTokens(SlotPool& pool, const SlotRequest& slot_request) {
+void SetCachedTokens(SlotPool& pool, const SlotRequest& slot_request) {
   if (slot_request.m_prompt_segments.empty())
     return;
-  // A part is only of use with all those before it.
+  // A cached segment is of use only together with all segments before it.
   std::vector<std::size_t> depth(pool.m_views.size(), 0);
   for (std::size_t k = 0; k < slot_request.m_prompt_segments.size(); ++k) {
     const auto keepers = pool.m_prompt_segments.find(slot_request.m_prompt_segments[k].m_id);
@@ -39,9 +40,12 @@
   }
 }
 
-void RememberParts(SlotPool& pool, std::size_t i, const SlotRequest& slot_request, Instant now) {
+void RecordPromptSegments(SlotPool& pool,
+                          std::size_t i,
+                          const SlotRequest& slot_request,
+                          Instant now) {
   for (const PromptSegment& part : slot_request.m_prompt_segments) {
-    PartKeepers& keepers = pool.m_prompt_segments[part.m_id];
+    SegmentServers& keepers = pool.m_prompt_segments[part.m_id];
     const auto known = std::find_if(keepers.begin(), keepers.end(),
                                     [i](const auto& keeper) { return keeper.first == i; });
     if (known != keepers.end())
@@ -49,8 +53,8 @@
     else
       keepers.emplace_back(i, now);
   }
-  if (pool.m_prompt_segments.size() > kMostParts)
-    ForgetOld(pool, now);
+  if (pool.m_prompt_segments.size() > kMaxSegments)
+    DropOldSegments(pool, now);
 }
 
 }  // namespace poppyway
--- a/packages/policy/src/slot_rollout.cc
+++ b/packages/policy/src/slot_rollout.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What a roll-out under way changes for the broker of places.
+// How a roll-out in progress affects the slot broker.
 #include <algorithm>
 
 #include "slot_internal.h"
@@ -12,27 +12,29 @@
   return pool.m_servers[i].m_version == pool.m_trial->m_target;
 }
 
-/// True if the pool has a server of the target version, or of others, that may work. An evacuation
-/// of all others doesn't end a trial: its bound would be lost.
-bool AnyOnSide(const SlotPool& pool, bool target) {
+/// Returns true if the pool has a server of the target version (`target`), or of another one, that
+/// may take work. Evacuated servers count among the others: an evacuation of all of them must not
+/// end a trial, since its bound on the target's share of the work would be lost.
+bool HasServerInGroup(const SlotPool& pool, bool target) {
   for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
-    const bool away = target && pool.m_servers[i].m_evacuated;
-    const bool may_work = !pool.m_servers[i].m_leaving && !away;
+    const bool evacuated_target = target && pool.m_servers[i].m_evacuated;
+    const bool may_work = !pool.m_servers[i].m_leaving && !evacuated_target;
     if (may_work && IsTarget(pool, i) == target)
       return true;
   }
   return false;
 }
 
-/// Of a stream with several events the time between two, of a plain answer its whole time.
-double PaceOf(const SlotReport& report) {
-  constexpr std::int64_t kLeastEvents = 3;
-  if (report.m_events >= kLeastEvents)
+/// Returns the mean time between events for a stream, or the total time for a response that isn't
+/// one; zero if the stream has too few events.
+double LatencyMs(const SlotReport& report) {
+  constexpr std::int64_t kMinEvents = 3;
+  if (report.m_events >= kMinEvents)
     return Seconds(report.m_span) * 1e3 / static_cast<double>(report.m_events - 1);
   return report.m_events == 0 ? Seconds(report.m_service) * 1e3 : 0;
 }
 
-std::int64_t RunsOf(const RolloutTrial& trial, const std::string& server) {
+std::int64_t TimedRuns(const RolloutTrial& trial, const std::string& server) {
   const auto found = trial.m_target_servers.find(server);
   return found == trial.m_target_servers.end() ? 0 : found->second.m_timed;
 }
@@ -64,13 +66,13 @@
   if (!pool.m_trial)
     return ServingGroup::kAll;
   const bool target = pool.m_trial->m_moving && !IsBad(pool.m_trial->m_finding);
-  if (!AnyOnSide(pool, target))
+  if (!HasServerInGroup(pool, target))
     return ServingGroup::kAll;
   return target ? ServingGroup::kTarget : ServingGroup::kOthers;
 }
 
-bool KeptFromWork(const SlotPool& pool, ServingGroup side, std::size_t i) {
-  return side != ServingGroup::kAll && IsTarget(pool, i) != (side == ServingGroup::kTarget);
+bool IsExcludedByRollout(const SlotPool& pool, ServingGroup group, std::size_t i) {
+  return group != ServingGroup::kAll && IsTarget(pool, i) != (group == ServingGroup::kTarget);
 }
 
 std::optional<std::size_t> ChooseTrialServer(const OutageDetector& outages,
@@ -83,22 +85,21 @@
   const RolloutTrial& trial = *pool.m_trial;
   if (!MayExpose(trial, waiting.m_request.m_route) || IsBad(trial.m_finding))
     return std::nullopt;
-  // In turn the server that is known least and the one that is fullest: what fails under load only
-  // shows there.
+  // Alternates between the server with the fewest timed runs and the one with the most requests in
+  // flight: some faults show only under load.
   const bool fullest = trial.m_sent % 2 == 1;
   std::optional<std::size_t> best;
   for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
-    const bool open =
+    const bool available =
         IsTarget(pool, i) &&
         CheckServerEligibility(outages, pool, i, waiting, false, now) == IneligibleReason::kNone &&
         HasRoom(pool.m_views[i], shape, pool.m_typical);
-    if (!open)
+    if (!available)
       continue;
-    const bool better =
-        !best ||
-        (fullest
-             ? pool.m_views[i].m_other_in_flight > pool.m_views[*best].m_other_in_flight
-             : RunsOf(trial, pool.m_servers[i].m_id) < RunsOf(trial, pool.m_servers[*best].m_id));
+    const bool better = !best || (fullest ? pool.m_views[i].m_other_in_flight >
+                                                pool.m_views[*best].m_other_in_flight
+                                          : TimedRuns(trial, pool.m_servers[i].m_id) <
+                                                TimedRuns(trial, pool.m_servers[*best].m_id));
     if (better)
       best = i;
   }
@@ -111,9 +112,9 @@
 }
 
 void LearnVersion(SlotPool& pool, const HeldSlot& held, const SlotReport& report, Instant now) {
-  const bool told =
+  const bool conclusive =
       pool.m_trial && report.m_ended && report.m_may_have_run && report.m_health_signal;
-  if (!told)
+  if (!conclusive)
     return;
   VersionSample sample;
   sample.m_target = held.m_version == pool.m_trial->m_target;
@@ -121,7 +122,7 @@
   sample.m_server = held.m_server;
   sample.m_failed = report.m_failed;
   sample.m_cut = *report.m_health_signal != HealthSignal::kSuccess && !report.m_failed;
-  sample.m_latency_ms = report.m_failed ? 0 : PaceOf(report);
+  sample.m_latency_ms = report.m_failed ? 0 : LatencyMs(report);
   Learn(*pool.m_trial, sample, now);
 }
 
--- a/packages/policy/src/slot_serve.cc
+++ b/packages/policy/src/slot_serve.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Which server a place request gets, and who is served when a place comes free.
+// Assigns slots: which server a request gets, and which request gets a slot that comes free.
 #include <algorithm>
 #include <cmath>
 
@@ -9,8 +9,11 @@
 namespace poppyway {
 namespace {
 
-constexpr std::size_t kDepth = 64;     // Of the queue that a free place is offered to.
-constexpr std::size_t kTickDepth = 8;  // Of the queue that all servers are tried for.
+// Number of waiting requests that a free slot is offered to.
+constexpr std::size_t kServerQueueDepth = 64;
+// Number of waiting requests that all servers are tried for.
+constexpr std::size_t kPoolQueueDepth = 8;
+// Interval at which the typical performance is recomputed.
 constexpr Duration kTypicalAge{100'000};
 
 std::uint64_t NextRandom(SlotBroker& broker) {
@@ -23,46 +26,49 @@
          slot_request.m_tried.end();
 }
 
-/// Sets what of a server's view depends on who asks and on the time.
-/// `kept`: whether a roll-out keeps the server from work.
+/// Sets the fields of a server's view that depend on the request and the time.
+/// `excluded_by_rollout`: true if a roll-out keeps ordinary work from the server.
 void SetView(const OutageDetector& outages,
              SlotPool& pool,
              std::size_t i,
              const QueuedSlotRequest& waiting,
              const RoundTrips& trips,
-             double told,
-             bool kept,
+             double reported_share,
+             bool excluded_by_rollout,
              Instant now) {
   const BackendServer& server = pool.m_servers[i];
   ServerView& view = pool.m_views[i];
-  const IneligibleReason reason = CheckServerEligibility(outages, pool, i, waiting, kept, now);
+  const IneligibleReason reason =
+      CheckServerEligibility(outages, pool, i, waiting, excluded_by_rollout, now);
   view.m_usable = reason == IneligibleReason::kNone;
   pool.m_slow_starts[i].m_full =
       reason == IneligibleReason::kCold && !IsSuspect(outages, pool, i, now);
   view.m_same_data_centre = server.m_data_centre == waiting.m_request.m_data_centre;
   view.m_round_trip = trips.empty() ? Duration(0) : RoundTripTo(trips, server.m_region);
   view.m_available_slots =
-      static_cast<int>(std::ceil(view.m_slots * told)) - view.m_other_in_flight;
+      static_cast<int>(std::ceil(view.m_slots * reported_share)) - view.m_other_in_flight;
   view.m_cached_tokens = 0;
 }
 
-/// Half of a pool stays in use, whatever failures say: of the suspects those that fail least.
-/// `lost`: whether those of lost data centres count too.
-void UseSuspects(const OutageDetector& outages,
-                 SlotPool& pool,
-                 const QueuedSlotRequest& waiting,
-                 ServingGroup side,
-                 bool lost,
-                 Instant now) {
+/// Keeps half of the pool in use however many servers are suspect: allows those with the lowest
+/// failure rates.
+/// `include_lost`: true if servers of lost data centres count too.
+void AllowSuspects(const OutageDetector& outages,
+                   SlotPool& pool,
+                   const QueuedSlotRequest& waiting,
+                   ServingGroup group,
+                   bool include_lost,
+                   Instant now) {
   std::vector<std::size_t> suspects;
   std::size_t present = 0;
   std::size_t usable = 0;
   for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
-    if (!lost && IsServerSuspect(outages, pool.m_servers[i].m_data_centre, pool.m_servers[i].m_id))
+    if (!include_lost &&
+        IsServerSuspect(outages, pool.m_servers[i].m_data_centre, pool.m_servers[i].m_id))
       continue;
     const IneligibleReason reason =
-        CheckServerEligibility(outages, pool, i, waiting, KeptFromWork(pool, side, i), now);
-    // A cold server that has got as much as it may is in use; one that is suspect too isn't.
+        CheckServerEligibility(outages, pool, i, waiting, IsExcludedByRollout(pool, group, i), now);
+    // A cold server at its limit is in use, unless it is suspect too.
     const bool cold_in_use = reason == IneligibleReason::kCold && !IsSuspect(outages, pool, i, now);
     if (reason != IneligibleReason::kNone && reason != IneligibleReason::kSuspect && !cold_in_use)
       continue;
@@ -82,46 +88,47 @@
     pool.m_views[suspects[k]].m_usable = true;
 }
 
-RoundTrips TripsOf(const SlotBroker& broker, const SlotRequest& slot_request) {
+RoundTrips RoundTripsOf(const SlotBroker& broker, const SlotRequest& slot_request) {
   return RoundTripsFrom(broker.m_round_trip_table,
                         RegionOf(broker.m_regions, slot_request.m_data_centre));
 }
 
 void SetViews(SlotBroker& broker, SlotPool& pool, const QueuedSlotRequest& waiting, Instant now) {
-  const double told = ToldShare(broker, now);
-  const ServingGroup side = ServingGroupOf(pool);
-  const RoundTrips trips = TripsOf(broker, waiting.m_request);
+  const double reported_share = ReportedShare(broker, now);
+  const ServingGroup group = ServingGroupOf(pool);
+  const RoundTrips trips = RoundTripsOf(broker, waiting.m_request);
   std::size_t usable = 0;
   for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
-    SetView(broker.m_outages, pool, i, waiting, trips, told, KeptFromWork(pool, side, i), now);
+    SetView(broker.m_outages, pool, i, waiting, trips, reported_share,
+            IsExcludedByRollout(pool, group, i), now);
     usable += pool.m_views[i].m_usable ? 1 : 0;
   }
   if (usable * 2 < pool.m_servers.size())
-    UseSuspects(broker.m_outages, pool, waiting, side, false, now);
+    AllowSuspects(broker.m_outages, pool, waiting, group, false, now);
   const bool none = broker.m_outages.m_suspect_count > 0 &&
                     std::none_of(pool.m_views.begin(), pool.m_views.end(),
                                  [](const ServerView& view) { return view.m_usable; });
   if (none)
-    UseSuspects(broker.m_outages, pool, waiting, side, true, now);
-  SetKeptTokens(pool, waiting.m_request);
+    AllowSuspects(broker.m_outages, pool, waiting, group, true, now);
+  SetCachedTokens(pool, waiting.m_request);
 }
 
-/// The place request as it stands after it has waited since `asked`.
-RequestShape ShapeNow(const QueuedSlotRequest& waiting, bool yields, Instant now) {
+/// Returns the request's shape after its wait so far.
+RequestShape CurrentShape(const QueuedSlotRequest& waiting, bool yields, Instant now) {
   RequestShape shape = waiting.m_request.m_shape;
-  const Duration since = now - waiting.m_asked;
+  const Duration since = now - waiting.m_requested_at;
   shape.m_waited += since;
   shape.m_left -= since;
   shape.m_yields_to_higher_priority = yields;
   return shape;
 }
 
-/// Takes the place at server `i` of the pool.
+/// Takes a slot at server `i` of the pool.
 SlotResponse Take(SlotBroker& broker,
                   SlotPool& pool,
                   std::size_t i,
                   const QueuedSlotRequest& waiting,
-                  Duration first,
+                  Duration time_to_first_event,
                   Instant now) {
   const SlotRequest& slot_request = waiting.m_request;
   ServerView& view = pool.m_views[i];
@@ -141,30 +148,30 @@
   BeginProbe(broker.m_outages, pool.m_servers[i].m_data_centre, held.m_server, now);
   if (IsHalfOpen(pool.m_health[i]))
     pool.m_health[i] = BeginProbe(pool.m_health[i], now);
-  RememberParts(pool, i, slot_request, now);
+  RecordPromptSegments(pool, i, slot_request, now);
   CountPlaced(pool, i);
-  NoteSent(pool.m_slow_starts[i], pool.m_slow_start_limit, now);
+  RecordSent(pool.m_slow_starts[i], pool.m_slow_start_limit, now);
   held.m_route = slot_request.m_route;
   held.m_from = RegionOf(broker.m_regions, slot_request.m_data_centre);
-  if (!waiting.m_order.m_owed)
+  if (!waiting.m_order.m_underserved)
     CountServed(pool.m_shares, waiting.m_group, now);
-  SlotResponse answer;
-  answer.m_instance = waiting.m_instance;
-  answer.m_ref = slot_request.m_ref;
-  answer.m_verdict = SlotVerdict::kPlaced;
-  answer.m_server = held.m_server;
-  answer.m_started_ms = server.m_started_ms;
-  answer.m_address = server.m_address;
-  answer.m_port = server.m_port;
-  answer.m_time_to_first_event = first;
+  SlotResponse response;
+  response.m_instance = waiting.m_instance;
+  response.m_ref = slot_request.m_ref;
+  response.m_verdict = SlotVerdict::kPlaced;
+  response.m_server = held.m_server;
+  response.m_started_ms = server.m_started_ms;
+  response.m_address = server.m_address;
+  response.m_port = server.m_port;
+  response.m_time_to_first_event = time_to_first_event;
   if (!slot_request.m_workspace.empty())
-    answer.m_limit_left = broker.m_limits[slot_request.m_workspace].m_tokens;
+    response.m_limit_left = broker.m_limits[slot_request.m_workspace].m_tokens;
   broker.m_instance_slots[waiting.m_instance].m_held.insert_or_assign(slot_request.m_ref,
                                                                       std::move(held));
-  return answer;
+  return response;
 }
 
-/// Places that come free for others; those at evacuated servers don't.
+/// Returns true if a cold server is at its limit.
 bool AnyColdFull(const SlotPool& pool) {
   return std::any_of(pool.m_slow_starts.begin(), pool.m_slow_starts.end(),
                      [](const SlowStartState& slow_start) { return slow_start.m_full; });
@@ -176,23 +183,23 @@
                                         const SlotPool& pool,
                                         std::size_t i,
                                         const QueuedSlotRequest& waiting,
-                                        bool kept,
+                                        bool excluded_by_rollout,
                                         Instant now) {
   const BackendServer& server = pool.m_servers[i];
   const SlotRequest& slot_request = waiting.m_request;
-  EligibilityInputs standing;
-  standing.m_leaving = server.m_leaving;
-  standing.m_evacuated = server.m_evacuated;
-  standing.m_kept_by_rollout = kept;
-  standing.m_backs_off = BackOffLeft(pool.m_notices[i], waiting.m_instance, now) > Duration(0);
-  standing.m_cold_full = ColdFull(pool.m_slow_starts[i], pool.m_slow_start_limit, now);
-  standing.m_suspect = IsSuspect(outages, pool, i, now);
-  standing.m_region = server.m_region;
-  return CheckEligibility(standing, slot_request.m_home_regions,
+  EligibilityInputs inputs;
+  inputs.m_leaving = server.m_leaving;
+  inputs.m_evacuated = server.m_evacuated;
+  inputs.m_kept_by_rollout = excluded_by_rollout;
+  inputs.m_backs_off = BackOffLeft(pool.m_notices[i], waiting.m_instance, now) > Duration(0);
+  inputs.m_cold_full = ColdFull(pool.m_slow_starts[i], pool.m_slow_start_limit, now);
+  inputs.m_suspect = IsSuspect(outages, pool, i, now);
+  inputs.m_region = server.m_region;
+  return CheckEligibility(inputs, slot_request.m_home_regions,
                           !slot_request.m_tried.empty() && Tried(slot_request, server.m_id));
 }
 
-std::size_t RankIndex(Tier route_tier) {
+std::size_t TierIndex(Tier route_tier) {
   return static_cast<std::size_t>(std::clamp(route_tier, 0, kTiers - 1));
 }
 
@@ -203,35 +210,40 @@
   pool.m_typical_at = now;
 }
 
-bool Yields(const SlotPool& pool, Tier route_tier) {
+bool MustYield(const SlotPool& pool, Tier route_tier) {
   return std::any_of(pool.m_waiting.begin(), pool.m_waiting.end(), [route_tier](const auto& entry) {
     return entry.first.m_route_tier < route_tier;
   });
 }
 
-SlotResponse RefusalOf(const std::string& instance, SlotRef ref, SlotVerdict verdict, double left) {
-  SlotResponse answer;
-  answer.m_instance = instance;
-  answer.m_ref = ref;
-  answer.m_verdict = verdict;
-  answer.m_limit_left = left;
-  return answer;
+SlotResponse MakeRejection(const std::string& instance,
+                           SlotRef ref,
+                           SlotVerdict verdict,
+                           double left) {
+  SlotResponse response;
+  response.m_instance = instance;
+  response.m_ref = ref;
+  response.m_verdict = verdict;
+  response.m_limit_left = left;
+  return response;
 }
 
-std::optional<SlotResponse> TryAll(SlotBroker& broker,
-                                   SlotPool& pool,
-                                   QueuedSlotRequest& waiting,
-                                   bool yields,
-                                   Instant now) {
+std::optional<SlotResponse> TryAssignSlot(SlotBroker& broker,
+                                          SlotPool& pool,
+                                          QueuedSlotRequest& waiting,
+                                          bool yields,
+                                          Instant now) {
   SetViews(broker, pool, waiting, now);
-  const RequestShape shape = ShapeNow(waiting, yields, now);
+  const RequestShape shape = CurrentShape(waiting, yields, now);
   if (const auto i = ChooseTrialServer(broker.m_outages, pool, waiting, shape, now)) {
-    const Duration first = PredictTimeToFirstEvent(pool.m_views[*i], shape, pool.m_typical);
-    return Take(broker, pool, *i, waiting, first, now);
+    const Duration time_to_first_event =
+        PredictTimeToFirstEvent(pool.m_views[*i], shape, pool.m_typical);
+    return Take(broker, pool, *i, waiting, time_to_first_event, now);
   }
-  if (const auto i = ChooseOutageTrial(broker, pool, waiting, shape, now)) {
-    const Duration first = PredictTimeToFirstEvent(pool.m_views[*i], shape, pool.m_typical);
-    return Take(broker, pool, *i, waiting, first, now);
+  if (const auto i = ChooseOutageProbe(broker, pool, waiting, shape, now)) {
+    const Duration time_to_first_event =
+        PredictTimeToFirstEvent(pool.m_views[*i], shape, pool.m_typical);
+    return Take(broker, pool, *i, waiting, time_to_first_event, now);
   }
   const std::optional<ServerChoice> choice =
       ChooseServer(pool.m_views, shape, pool.m_typical, NextRandom(broker));
@@ -243,24 +255,25 @@
   return std::nullopt;
 }
 
-void ServeServer(SlotBroker& broker,
-                 SlotPool& pool,
-                 std::size_t i,
-                 Instant now,
-                 std::vector<SlotResponse>& out) {
-  const double told = ToldShare(broker, now);
-  if (KeptFromWork(pool, ServingGroupOf(pool), i))
-    return;  // A trial takes new requests, and what waits at the next look at all servers.
+void ServeQueueAtServer(SlotBroker& broker,
+                        SlotPool& pool,
+                        std::size_t i,
+                        Instant now,
+                        std::vector<SlotResponse>& out) {
+  const double reported_share = ReportedShare(broker, now);
+  if (IsExcludedByRollout(pool, ServingGroupOf(pool), i))
+    return;  // A trial takes only new requests, and waiting ones when all servers are tried next.
   Tier most_urgent = kTiers;
   std::size_t depth = 0;
-  for (auto it = pool.m_waiting.begin(); it != pool.m_waiting.end() && depth < kDepth; ++depth) {
+  for (auto it = pool.m_waiting.begin(); it != pool.m_waiting.end() && depth < kServerQueueDepth;
+       ++depth) {
     QueuedSlotRequest& waiting = it->second;
     const Tier route_tier = it->first.m_route_tier;
-    const bool yields = !it->first.m_owed && route_tier > most_urgent;
-    SetView(broker.m_outages, pool, i, waiting, TripsOf(broker, waiting.m_request), told, false,
-            now);
+    const bool yields = !it->first.m_underserved && route_tier > most_urgent;
+    SetView(broker.m_outages, pool, i, waiting, RoundTripsOf(broker, waiting.m_request),
+            reported_share, false, now);
     const ServerView& view = pool.m_views[i];
-    const RequestShape shape = ShapeNow(waiting, yields, now);
+    const RequestShape shape = CurrentShape(waiting, yields, now);
     const bool fits = view.m_usable && HasRoom(view, shape, pool.m_typical) &&
                       (!waiting.m_needs_suitable || CanMeetTargets(view, shape, pool.m_typical));
     if (!fits) {
@@ -268,28 +281,32 @@
       ++it;
       continue;
     }
-    const Duration first = PredictTimeToFirstEvent(view, shape, pool.m_typical);
-    out.push_back(Take(broker, pool, i, waiting, first, now));
+    const Duration time_to_first_event = PredictTimeToFirstEvent(view, shape, pool.m_typical);
+    out.push_back(Take(broker, pool, i, waiting, time_to_first_event, now));
     broker.m_instance_slots[waiting.m_instance].m_waiting.erase(waiting.m_request.m_ref);
     it = pool.m_waiting.erase(it);
   }
 }
 
-void ServePool(SlotBroker& broker, SlotPool& pool, Instant now, std::vector<SlotResponse>& out) {
+void ServePoolQueue(SlotBroker& broker,
+                    SlotPool& pool,
+                    Instant now,
+                    std::vector<SlotResponse>& out) {
   RefreshTypical(pool, now);
   Tier most_urgent = kTiers;
   std::size_t without_room = 0;
-  for (auto it = pool.m_waiting.begin(); it != pool.m_waiting.end() && without_room < kTickDepth;) {
+  for (auto it = pool.m_waiting.begin();
+       it != pool.m_waiting.end() && without_room < kPoolQueueDepth;) {
     const Tier route_tier = it->first.m_route_tier;
-    const bool yields = !it->first.m_owed && route_tier > most_urgent;
-    std::optional<SlotResponse> answer = TryAll(broker, pool, it->second, yields, now);
-    if (!answer) {
+    const bool yields = !it->first.m_underserved && route_tier > most_urgent;
+    std::optional<SlotResponse> response = TryAssignSlot(broker, pool, it->second, yields, now);
+    if (!response) {
       most_urgent = std::min(most_urgent, route_tier);
       ++without_room;
       ++it;
       continue;
     }
-    out.push_back(std::move(*answer));
+    out.push_back(std::move(*response));
     broker.m_instance_slots[it->second.m_instance].m_waiting.erase(it->second.m_request.m_ref);
     it = pool.m_waiting.erase(it);
   }
--- a/packages/policy/src/slow_start.cc
+++ b/packages/policy/src/slow_start.cc
@@ -8,14 +8,17 @@
 namespace poppyway {
 namespace {
 
-// A second cut in four: sends delayed by half a second put those of six parts into one window.
+// A window is divided into this many parts. A delay of half a second can put the requests of six
+// parts into one window.
 constexpr int kParts = 4;
-// Servers say how long they are cold about every 1.2 s: two such words and the way through the log.
-constexpr Duration kOwnWordTime{3'000'000};
-// Of what the broker leaves. Those who decide alone have no common clock, so some of their sends
-// coincide: with all of it the limit was exceeded by 1 to 3 requests in one of 100 simulated runs.
-constexpr double kSharedAlone = 0.5;
-// Of someone who decides alone; keeps clear of overflow where hardly anything is left to share.
+// Servers report their cold time about every 1.2 s; this covers two reports and the log's delay.
+constexpr Duration kReportTime{3'000'000};
+// Share of what the broker leaves below the upper bound. Instances without a broker share no clock,
+// so some of their requests coincide: with the whole remainder, one of 100 simulated runs exceeded
+// the limit by 1 to 3 requests.
+constexpr double kSharedWithoutBroker = 0.5;
+// Longest send interval of an instance without a broker. Avoids overflow if hardly anything is left
+// to share.
 constexpr double kLongestGapS = 600;
 
 int SentSince(const SlowStartState& slow_start, Instant since) noexcept {
@@ -23,22 +26,23 @@
   return static_cast<int>(std::distance(first, slow_start.m_sent.end()));
 }
 
-/// What one broker gives in a window: at least one request, or the server would never be used.
-int WindowMost(const SlowStartLimit& limit) noexcept {
-  const double aim = std::max(1.0, std::floor(limit.m_per_s));
-  return static_cast<int>(std::min(aim, std::floor(limit.m_most_per_s)));
+/// Returns the number of requests that a broker sends to a cold server per window. It is at least
+/// one, or the server would never be used.
+int MaxPerWindow(const SlowStartLimit& limit) noexcept {
+  const double target = std::max(1.0, std::floor(limit.m_per_s));
+  return static_cast<int>(std::min(target, std::floor(limit.m_most_per_s)));
 }
 
-/// Between two sends of one that decides alone; zero: it must send nothing.
-Duration GapAlone(const SlowStartLimit& limit, int instances) noexcept {
-  const double shared = kSharedAlone * (limit.m_most_per_s - WindowMost(limit));
+/// Returns the send interval of an instance without a broker; zero if it must send nothing.
+Duration GapWithoutBroker(const SlowStartLimit& limit, int instances) noexcept {
+  const double shared = kSharedWithoutBroker * (limit.m_most_per_s - MaxPerWindow(limit));
   if (shared <= 0)
     return Duration(0);
   const double gap_s = std::min(kLongestGapS, std::max(1, instances) / shared);
   return Duration(static_cast<std::int64_t>(gap_s * 1e6));
 }
 
-void Presume(SlowStartState& slow_start, Duration presumed, Instant now) noexcept {
+void PresumeCold(SlowStartState& slow_start, Duration presumed, Instant now) noexcept {
   slow_start.m_cold_until = std::max(slow_start.m_cold_until, now + presumed);
 }
 
@@ -52,15 +56,15 @@
 bool ColdFull(const SlowStartState& slow_start, const SlowStartLimit& limit, Instant now) noexcept {
   if (limit.m_per_s <= 0 || !IsCold(slow_start, now))
     return false;
-  if (now < slow_start.m_blind_until)
+  if (now < slow_start.m_unknown_until)
     return true;
-  const int most = WindowMost(limit);
+  const int most = MaxPerWindow(limit);
   const int part = (most + kParts - 1) / kParts;
   return SentSince(slow_start, now - kColdWindow) >= most ||
          SentSince(slow_start, now - kColdWindow / kParts) >= part;
 }
 
-void NoteSent(SlowStartState& slow_start, const SlowStartLimit& limit, Instant now) {
+void RecordSent(SlowStartState& slow_start, const SlowStartLimit& limit, Instant now) {
   if (limit.m_per_s <= 0)
     return;
   std::erase_if(slow_start.m_sent, [now](Instant sent) { return sent <= now - kColdWindow; });
@@ -76,7 +80,7 @@
   const bool known = slow_start.m_known;
   slow_start.m_update = update;
   slow_start.m_known = true;
-  slow_start.m_tells = slow_start.m_tells || update.m_left > Duration(0);
+  slow_start.m_reports_cold = slow_start.m_reports_cold || update.m_left > Duration(0);
   if (known && update == before)
     return;
   const bool another = known && update.m_started_ms != before.m_started_ms;
@@ -85,15 +89,15 @@
     slow_start.m_silent = false;
     slow_start.m_cold_until = now + update.m_left;
   } else if (another || returned || (!known && presume_new)) {
-    Presume(slow_start, presumed, now);
+    PresumeCold(slow_start, presumed, now);
   } else if (update.m_left == Duration(0) && before.m_left > Duration(0)) {
     slow_start.m_silent = false;
     slow_start.m_cold_until = {};
   }
 }
 
-Duration PresumedTime(const SlowStartLimit& limit, bool servers_tell) noexcept {
-  return servers_tell ? std::min(kOwnWordTime, limit.m_time) : limit.m_time;
+Duration PresumedTime(const SlowStartLimit& limit, bool servers_report) noexcept {
+  return servers_report ? std::min(kReportTime, limit.m_time) : limit.m_time;
 }
 
 void ObserveRestartSign(SlowStartState& slow_start,
@@ -103,11 +107,12 @@
                         Instant now) noexcept {
   if (sign == HealthSignal::kSuccess) {
     if (slow_start.m_silent)
-      Presume(slow_start, presumed, now);
+      PresumeCold(slow_start, presumed, now);
     slow_start.m_silent = false;
     return;
   }
-  // A single broken answer is no start: where 3 in 100 break, every server would be presumed cold.
+  // A single failed response isn't taken for a restart: with 3 in 100 failing, every server would
+  // be presumed cold.
   if (sign == HealthSignal::kUnreachable || IsEjected(health, now))
     slow_start.m_silent = true;
 }
@@ -125,13 +130,13 @@
                              int instances,
                              double random,
                              Instant now) noexcept {
-  const Duration gap = GapAlone(limit, instances);
-  // A turn that nobody used is over: kept, those of all instances would be used in the one moment
-  // in which the warm servers are full.
+  const Duration gap = GapWithoutBroker(limit, instances);
+  // An unused send time expires. Otherwise those of all instances would be used at the moment when
+  // the warm servers are full.
   const Duration lapses = std::min(gap, kColdWindow / kParts);
-  const bool begun = slow_start.m_next_without_broker != Instant{} &&
-                     now < slow_start.m_next_without_broker + lapses;
-  if (begun || gap == Duration(0))
+  const bool pending = slow_start.m_next_without_broker != Instant{} &&
+                       now < slow_start.m_next_without_broker + lapses;
+  if (pending || gap == Duration(0))
     return;
   slow_start.m_next_without_broker =
       now + Duration(static_cast<std::int64_t>(random * static_cast<double>(gap.count())));
@@ -141,7 +146,7 @@
                              const SlowStartLimit& limit,
                              int instances,
                              Instant now) noexcept {
-  const Duration gap = GapAlone(limit, instances);
+  const Duration gap = GapWithoutBroker(limit, instances);
   slow_start.m_next_without_broker = gap == Duration(0) ? Instant{} : now + gap;
 }
 
--- a/tests/evacuation_test.cc
+++ b/tests/evacuation_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// A data centre that gets nothing new: the order, the broker, instances.
+// Evacuation of a data centre, which then gets no new work: orders, the broker, instances.
 #include <catch2/catch.hpp>
 
 #include "fake_broker.h"
@@ -55,9 +55,9 @@
   HostedState state;
   wire::EvacuationOrder first = Order("east");
   first.__set_known(LastEvacuationNumber(state, "east"));
-  ApplyEvacuation(state, Order("east"), 7);        // The same order, through another member.
-  ApplyEvacuation(state, Order("east", true), 8);  // Taken back.
-  ApplyEvacuation(state, first, 9);                // What was held up on its way.
+  ApplyEvacuation(state, Order("east"), 7);        // The same order through another member.
+  ApplyEvacuation(state, Order("east", true), 8);  // The order is revoked.
+  ApplyEvacuation(state, first, 9);                // The first order arrives late.
   CHECK_FALSE(IsEvacuated(state, "east"));
   CHECK(LastEvacuationNumber(state, "east") == 2);
   wire::EvacuationOrder next = Order("east");
@@ -104,10 +104,10 @@
   CHECK_FALSE(KnowsDataCentre(state, ""));
   state.m_servers.clear();
   ApplyEvacuation(state, Order("east"), 4);
-  CHECK(KnowsDataCentre(state, "east"));  // Or nobody could take the order back.
+  CHECK(KnowsDataCentre(state, "east"));  // Otherwise nobody could revoke the order.
 }
 
-// ---- The platform's calls -----------------------------------------------------------------------
+// ---- Control calls of the platform --------------------------------------------------------------
 
 TEST_CASE("calls that order an evacuation and its end are decoded") {
   using platform::ControlRequest;
@@ -134,11 +134,11 @@
   wire::ErrorReply unknown;
   unknown.code = static_cast<std::int32_t>(ResultCode::kNotFound);
   unknown.message = "data centre 'nowhere' is not in the settings";
-  wire::Body refused;
-  refused.__set_error(unknown);
-  const platform::ControlResponse answer = platform::EncodeControlResponse(call, refused);
-  CHECK(answer.m_status == 404);
-  CHECK(answer.m_body.find("nowhere") != std::string::npos);
+  wire::Body rejected;
+  rejected.__set_error(unknown);
+  const platform::ControlResponse response = platform::EncodeControlResponse(call, rejected);
+  CHECK(response.m_status == 404);
+  CHECK(response.m_body.find("nowhere") != std::string::npos);
   wire::ErrorReply none;
   none.code = static_cast<std::int32_t>(ResultCode::kNoMajority);
   wire::Body later;
@@ -146,7 +146,7 @@
   CHECK(platform::EncodeControlResponse(call, later).m_status == 503);
 }
 
-// ---- The broker of places -----------------------------------------------------------------------
+// ---- The slot broker ----------------------------------------------------------------------------
 
 BackendServer Server(const std::string& id, const std::string& data_centre, bool evacuated) {
   BackendServer server = Engine(id, data_centre);
@@ -155,7 +155,7 @@
   return server;
 }
 
-SlotRequest Ask(SlotRef ref) {
+SlotRequest WantedSlot(SlotRef ref) {
   SlotRequest slot_request = WantedPlace(ref);
   slot_request.m_wait = kSecond;
   return slot_request;
@@ -172,12 +172,12 @@
 TEST_CASE("servers of an evacuated data centre get nothing new, and what they run still counts") {
   SlotBroker broker = Broker({Server("e", "east", false), Server("w", "west", false)});
   for (SlotRef ref = 1; ref <= 4; ++ref)
-    CHECK(AskFor(broker, Ask(ref)).m_verdict == SlotVerdict::kPlaced);
+    CHECK(AskFor(broker, WantedSlot(ref)).m_verdict == SlotVerdict::kPlaced);
   SetServers(broker, {Server("e", "east", true), Server("w", "west", false)});
   const SlotPool& pool = broker.m_pools.at("engines");
   CHECK(pool.m_views[0].m_other_in_flight == 2);
-  // Both places at the evacuated server come free; who waits gets none of them.
-  CHECK(AskFor(broker, Ask(5)).m_verdict == SlotVerdict::kQueued);
+  // Both slots at the evacuated server come free; the waiting request gets neither.
+  CHECK(AskFor(broker, WantedSlot(5)).m_verdict == SlotVerdict::kQueued);
   for (const auto& [ref, held] : std::unordered_map(broker.m_instance_slots.at("a").m_held)) {
     if (held.m_server != "e")
       continue;
@@ -189,8 +189,8 @@
     CHECK(out.empty());
   }
   CHECK(broker.m_pools.at("engines").m_views[0].m_other_in_flight == 0);
-  // Those places say nothing of how soon others come free.
-  CHECK(broker.m_pools.at("engines").m_flow.m_freed == 0);
+  // Those slots don't count in the rate at which slots come free.
+  CHECK(broker.m_pools.at("engines").m_turnover.m_freed == 0);
   std::vector<SlotResponse> out;
   SetServers(broker, {Server("e", "east", false), Server("w", "west", false)});
   TickBroker(broker, kStart, out);
@@ -200,9 +200,9 @@
 
 TEST_CASE("a pool that an evacuation has left no server refuses at once, also what waits") {
   SlotBroker broker = Broker({Server("e", "east", false)});
-  (void)AskFor(broker, Ask(1));
-  (void)AskFor(broker, Ask(2));
-  CHECK(AskFor(broker, Ask(3)).m_verdict == SlotVerdict::kQueued);
+  (void)AskFor(broker, WantedSlot(1));
+  (void)AskFor(broker, WantedSlot(2));
+  CHECK(AskFor(broker, WantedSlot(3)).m_verdict == SlotVerdict::kQueued);
   SetServers(broker, {Server("e", "east", true)});
   std::vector<SlotResponse> out;
   TickBroker(broker, kStart, out);
@@ -210,30 +210,30 @@
   CHECK(out[0].m_ref == 3);
   CHECK(out[0].m_verdict == SlotVerdict::kNoServer);
   CHECK(broker.m_instance_slots.at("a").m_waiting.empty());
-  CHECK(AskFor(broker, Ask(4)).m_verdict == SlotVerdict::kNoServer);
+  CHECK(AskFor(broker, WantedSlot(4)).m_verdict == SlotVerdict::kNoServer);
 }
 
 TEST_CASE("a server that leaves doesn't stand for what an evacuation has left") {
   BackendServer leaving = Server("w", "west", false);
   leaving.m_leaving = true;
   SlotBroker broker = Broker({Server("e", "east", true), leaving});
-  CHECK(AskFor(broker, Ask(1)).m_verdict == SlotVerdict::kNoServer);
+  CHECK(AskFor(broker, WantedSlot(1)).m_verdict == SlotVerdict::kNoServer);
 }
 
 TEST_CASE("what may be served only where all is evacuated is refused at once, other work goes on") {
   SlotBroker broker = Broker({Server("e", "east", true), Server("w", "west", false)});
-  SlotRequest bound = Ask(1);
+  SlotRequest bound = WantedSlot(1);
   bound.m_home_regions = {true, {"east"}};
   CHECK(AskFor(broker, bound).m_verdict == SlotVerdict::kNoServer);
-  CHECK(AskFor(broker, Ask(2)).m_server == "w");
+  CHECK(AskFor(broker, WantedSlot(2)).m_server == "w");
 }
 
 TEST_CASE("what waits and may be served only where all is evacuated is refused at once") {
   SlotBroker broker = Broker({Server("e", "east", false), Server("w", "west", false)});
   SlotRef ref = 1;
-  while (AskFor(broker, Ask(ref)).m_verdict == SlotVerdict::kPlaced)
+  while (AskFor(broker, WantedSlot(ref)).m_verdict == SlotVerdict::kPlaced)
     ++ref;
-  SlotRequest bound = Ask(ref + 1);
+  SlotRequest bound = WantedSlot(ref + 1);
   bound.m_home_regions = {true, {"east"}};
   REQUIRE(AskFor(broker, bound).m_verdict == SlotVerdict::kQueued);
   SetServers(broker, {Server("e", "east", true), Server("w", "west", false)});
@@ -256,8 +256,8 @@
   pool.m_health[6].m_ejected_until = kStart + 5 * kSecond;
   REQUIRE(IsEjected(pool.m_health[6], kStart));
   for (SlotRef ref = 1; ref <= 2; ++ref)
-    CHECK(AskFor(broker, Ask(ref)).m_server == "w1");
-  CHECK(AskFor(broker, Ask(3)).m_verdict == SlotVerdict::kQueued);
+    CHECK(AskFor(broker, WantedSlot(ref)).m_server == "w1");
+  CHECK(AskFor(broker, WantedSlot(3)).m_verdict == SlotVerdict::kQueued);
 }
 
 TEST_CASE("work that moves to a version whose servers are all evacuated goes on with the others") {
@@ -267,7 +267,7 @@
   other.m_version = "v1";
   SlotBroker broker = Broker({target, other});
   SetRollouts(broker, {{"engines", {1, "v2", true, 0, 0}}}, ExposureBounds{});
-  CHECK(AskFor(broker, Ask(1)).m_server == "w");
+  CHECK(AskFor(broker, WantedSlot(1)).m_server == "w");
 }
 
 TEST_CASE("an evacuated server of a version on trial gets no trial request either") {
@@ -284,7 +284,7 @@
     broker.m_pools.at("engines").m_trial->m_allowed = 5;
     int trials = 0;
     for (SlotRef ref = 1; ref <= 20; ++ref)
-      trials += AskFor(broker, Ask(ref)).m_server == "e" ? 1 : 0;
+      trials += AskFor(broker, WantedSlot(ref)).m_server == "e" ? 1 : 0;
     CHECK((trials > 0) == !evacuated);
   }
 }
@@ -298,7 +298,7 @@
   SlotBroker broker = Broker({target, other});
   SetRollouts(broker, {{"engines", {1, "v2", false, 0, 0}}}, ExposureBounds{});
   for (SlotRef ref = 1; ref <= 20; ++ref)
-    CHECK(AskFor(broker, Ask(ref)).m_verdict != SlotVerdict::kPlaced);
+    CHECK(AskFor(broker, WantedSlot(ref)).m_verdict != SlotVerdict::kPlaced);
 }
 
 // ---- An instance --------------------------------------------------------------------------------
@@ -325,7 +325,7 @@
   CHECK(call.AwaitResponse(fixture).status() == 200);
   CHECK(east.requests().empty());
   CHECK(west.requests().size() == 1);
-  // The first place was given back as one that ran nothing.
+  // The first slot is returned with a report that the server executed nothing.
   REQUIRE(!broker.Reports().empty());
   CHECK(broker.Reports()[0].m_ended);
   CHECK_FALSE(broker.Reports()[0].m_may_have_run);
@@ -356,9 +356,9 @@
   ForwarderFixture fixture;
   RegisterIn(fixture, "east", "e", east);
   Evacuate(fixture, 1);
-  const CallResult refused = Call(fixture, Request("/safe/", "i"));
-  CHECK(refused.status() == 503);
-  CHECK(refused.m_elapsed_ms < 80);  // Its aim would let it wait for 88 ms.
+  const CallResult rejected = Call(fixture, Request("/safe/", "i"));
+  CHECK(rejected.status() == 503);
+  CHECK(rejected.m_elapsed_ms < 80);  // Its latency target would allow a wait of 88 ms.
   CHECK(fixture.Refusals(std::string(ResultInfoOf(ResultCode::kNoBackend).m_name)) == 1);
   RegisterIn(fixture, "west", "w", west);
   CHECK(Call(fixture, Request("/safe/", "j")).status() == 200);
@@ -380,7 +380,7 @@
   CHECK(Call(fixture, Request("/safe/", "i")).status() == 200);
 }
 
-/// Keeps its connection until the instance closes it.
+/// Keeps its connection open until the instance closes it.
 std::vector<ScriptStep> OkAndStay(const std::string& request) {
   return {Wait(100), MakeResponse(request, "ok")[0], AwaitClose()};
 }
--- a/tests/server_notice_test.cc
+++ b/tests/server_notice_test.cc
@@ -1,19 +1,13 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What backend servers say of themselves in their answers: send me nothing for a while, I leave.
+// Notices of backend servers in their responses: a back-off, or that the server is leaving.
 //
-// Seen: servers that turned a request away with 503 and asked the instance to send them nothing for
-// 3 s got up to seven more of its requests in that time. All were turned away, and most of their
-// callers got 503 while other servers had room.
-//
-// How it came about: nothing read the wish. Only the estimate of the server's health kept work
-// away, for 300 ms after three failures in a row, and each good answer of a stream that the server
-// still ran ended that. Proved by the first test below, which failed with 4 requests where 1 is
-// allowed, and by the logs: the gaps between the requests were those of the health estimate.
-//
-// Found beside it, with the same cause: servers that say in their answers that they leave got new
-// work until the registry told of it, which it may never do. Proved by the tests at the end, which
-// failed with 14 requests where 1 is allowed.
+// Guards against instances that ignore a back-off: in the 3 s after a 503 they sent the server up
+// to seven more requests, which were rejected while other servers had free slots. The health
+// estimate ejects a server only for 300 ms after three failures in a row, and a successful response
+// ends that. Also guards against new work for a server that announces that it is leaving, which the
+// registry may never report. Without notices the first test sees 4 requests and the last ones 14,
+// not 1.
 #include <catch2/catch.hpp>
 
 #include "fake_broker.h"
@@ -23,7 +17,7 @@
 namespace poppyway {
 namespace {
 
-/// A script of a server that turns all requests away and wants nothing for a time.
+/// Returns the script of a server that rejects all requests and asks to back off for `seconds`.
 ScriptedServer::Script BackingOff(const std::string& seconds) {
   return [seconds](const std::string& request) {
     return std::vector<ScriptStep>{Send("HTTP/1.1 503 Full\r\nx-attempt-id: " + IdOf(request) +
@@ -37,15 +31,15 @@
   ScriptedServer good(MakeOkResponse);
   ForwarderFixture fixture;
   fixture.Register("s0", busy);
-  const Instant asked = ReadClock();
+  const Instant requested = ReadClock();
   CHECK(Call(fixture, Request("/safe/", "first")).status() == 503);
   fixture.Register("s1", good);
-  const auto in_time = [asked] { return ReadClock() - asked < Duration(900'000); };
+  const auto in_time = [requested] { return ReadClock() - requested < Duration(900'000); };
   for (int i = 0; in_time(); ++i)
     CHECK(Call(fixture, Request("/safe/", "i" + std::to_string(i))).status() == 200);
   CHECK(busy.requests().size() == 1);
   CHECK(good.requests().size() > 10);
-  // Once the time is over it is a server like any other.
+  // After the back-off the server gets requests again.
   for (int i = 0; i < 60 && busy.requests().size() == 1; ++i)
     (void)Call(fixture, Request("/safe/", "j" + std::to_string(i)));
   CHECK(busy.requests().size() > 1);
@@ -65,15 +59,15 @@
   REQUIRE(slot_requests.size() == 2);
   SendSlotResponse(fixture, slot_requests[0].m_ref, SlotVerdict::kPlaced, "s0");
   fixture.RunUntil([&] { return !broker.ReceivedNotices().empty(); });
-  // The broker learns of it with the server, its life, and what is left of the time.
+  // The broker gets the notice with the server, its process start time and the remaining back-off.
   REQUIRE(broker.ReceivedNotices().size() == 1);
   CHECK(broker.ReceivedNotices()[0].m_server == "s0");
   CHECK(broker.ReceivedNotices()[0].m_back_off > Duration(900'000));
   CHECK(broker.ReceivedNotices()[0].m_back_off <= Duration(1'000'000));
-  // Its answer for the other request was on its way.
+  // The broker's response to the other request was already on its way.
   SendSlotResponse(fixture, slot_requests[1].m_ref, SlotVerdict::kPlaced, "s0");
   fixture.RunUntil([&] { return broker.SlotRequests().size() == 4; });
-  REQUIRE(broker.SlotRequests().size() == 4);  // Both ask again.
+  REQUIRE(broker.SlotRequests().size() == 4);  // Both request a slot again.
   for (std::size_t i = 2; i < 4; ++i)
     SendSlotResponse(fixture, broker.SlotRequests()[i].m_ref, SlotVerdict::kPlaced, "s1");
   CHECK(first.AwaitResponse(fixture).status() == 200);
@@ -113,7 +107,8 @@
   fixture.Register("s1", good);
   if (lost)
     fixture.m_forwarder->HandleMessage(BrokerDisconnected{});
-  for (int i = 0; i < 3; ++i)  // Without an answer each is decided here.
+  // Requests that the broker doesn't answer are decided by the instance.
+  for (int i = 0; i < 3; ++i)
     CHECK(Call(fixture, Request("/safe/", "i" + std::to_string(i))).status() == 200);
   CHECK(first.AwaitResponse(fixture).status() == 200);
   CHECK(busy.requests().size() == 1);
@@ -124,10 +119,10 @@
   ForwarderFixture fixture;
   fixture.Register("s0", busy);
   CHECK(Call(fixture, Request("/safe/", "a")).status() == 503);
-  const CallResult seen = Call(fixture, Request("/safe/", "b", "X-Deadline-Ms: 1500\r\n"));
-  CHECK(seen.status() == 503);
-  CHECK(seen.m_elapsed_ms < 80);  // It would have waited 88 ms for its turn.
-  CHECK(seen.m_bytes.find("retry-after: ") != std::string::npos);
+  const CallResult result = Call(fixture, Request("/safe/", "b", "X-Deadline-Ms: 1500\r\n"));
+  CHECK(result.status() == 503);
+  CHECK(result.m_elapsed_ms < 80);  // Waiting for a slot would take 88 ms.
+  CHECK(result.m_bytes.find("retry-after: ") != std::string::npos);
   CHECK(busy.requests().size() == 1);
 }
 
@@ -144,9 +139,9 @@
   fixture.Register("s0", busy);
   CHECK(Call(fixture, Request("/safe/", "a")).status() == 503);
   fixture.Register("s1", breaks);
-  const CallResult seen = Call(fixture, Request("/stream/", "b"));
-  CHECK(seen.status() == 200);  // It began; nothing could end it.
-  CHECK_FALSE(IsCompleteResponse(seen.m_bytes));
+  const CallResult result = Call(fixture, Request("/stream/", "b"));
+  CHECK(result.status() == 200);  // The response has begun, so its status stays.
+  CHECK_FALSE(IsCompleteResponse(result.m_bytes));
   CHECK(busy.requests().size() == 1);
 }
 
@@ -202,7 +197,7 @@
 
 // ---- The broker ---------------------------------------------------------------------------------
 
-BackendServer EngineBorn(const std::string& id, std::int64_t started_ms) {
+BackendServer EngineStartedAt(const std::string& id, std::int64_t started_ms) {
   BackendServer server = Engine(id);
   server.m_started_ms = started_ms;
   return server;
@@ -212,7 +207,9 @@
   return BrokerFor({"a", "b"}, servers);
 }
 
-ServerNotice Wish(const std::string& server, Duration back_off, std::int64_t started_ms = 0) {
+ServerNotice BackOffNotice(const std::string& server,
+                           Duration back_off,
+                           std::int64_t started_ms = 0) {
   ServerNotice notice;
   notice.m_server = server;
   notice.m_started_ms = started_ms;
@@ -222,14 +219,14 @@
 
 TEST_CASE("the broker gives an instance no place at a server that backs off from it") {
   SlotBroker broker = BrokerWith({Engine("s0"), Engine("s1")});
-  HearWord(broker, "a", Wish("s0", kSecond), kStart);
+  ApplyServerNotice(broker, "a", BackOffNotice("s0", kSecond), kStart);
   for (SlotRef ref = 1; ref <= 2; ++ref)
     CHECK(AskOnce(broker, "a", WantedPlace(ref), kStart).m_server == "s1");
-  // Full: it waits, though the other server has room.
+  // The other server is full, so the request waits although this one has free slots.
   CHECK(AskOnce(broker, "a", WantedPlace(3), kStart).m_verdict == SlotVerdict::kQueued);
-  // The other instance wasn't asked.
+  // The server didn't ask the other instance to back off.
   CHECK(AskOnce(broker, "b", WantedPlace(4), kStart).m_server == "s0");
-  // A place that comes free at the server isn't given to the one that it backs off from.
+  // A slot that comes free at the server isn't assigned to the instance in back-off.
   std::vector<SlotResponse> out;
   SlotReport end;
   end.m_ref = 4;
@@ -242,7 +239,7 @@
 TEST_CASE("half of a pool stays in use for failures, but never against a server's own wish") {
   SlotBroker broker = BrokerWith({Engine("s0"), Engine("s1"), Engine("s2"), Engine("s3")});
   for (const std::string id : {"s0", "s1", "s2"})
-    HearWord(broker, "a", Wish(id, kSecond), kStart);
+    ApplyServerNotice(broker, "a", BackOffNotice(id, kSecond), kStart);
   CHECK(AskOnce(broker, "a", WantedPlace(1), kStart).m_server == "s3");
   CHECK(AskOnce(broker, "a", WantedPlace(2), kStart).m_server == "s3");
   CHECK(AskOnce(broker, "a", WantedPlace(3), kStart).m_verdict == SlotVerdict::kQueued);
@@ -250,17 +247,17 @@
 
 TEST_CASE("a request that no server wants in time is refused at once, to come back then") {
   SlotBroker broker = BrokerWith({Engine("s0"), Engine("s1")});
-  HearWord(broker, "a", Wish("s0", 3 * kSecond), kStart);
-  HearWord(broker, "a", Wish("s1", 2 * kSecond), kStart);
-  const SlotResponse refused = AskOnce(broker, "a", WantedPlace(1), kStart);
-  CHECK(refused.m_verdict == SlotVerdict::kNoRoom);
-  CHECK(refused.m_estimated_wait == 2 * kSecond);
+  ApplyServerNotice(broker, "a", BackOffNotice("s0", 3 * kSecond), kStart);
+  ApplyServerNotice(broker, "a", BackOffNotice("s1", 2 * kSecond), kStart);
+  const SlotResponse rejected = AskOnce(broker, "a", WantedPlace(1), kStart);
+  CHECK(rejected.m_verdict == SlotVerdict::kNoRoom);
+  CHECK(rejected.m_estimated_wait == 2 * kSecond);
   CHECK(AskOnce(broker, "b", WantedPlace(2), kStart).m_verdict == SlotVerdict::kPlaced);
 }
 
 TEST_CASE("a request waits for a server that wants something again soon, and gets it") {
   SlotBroker broker = BrokerWith({Engine("s0")});
-  HearWord(broker, "a", Wish("s0", Duration(50'000)), kStart);
+  ApplyServerNotice(broker, "a", BackOffNotice("s0", Duration(50'000)), kStart);
   CHECK(AskOnce(broker, "a", WantedPlace(1), kStart).m_verdict == SlotVerdict::kQueued);
   std::vector<SlotResponse> out;
   TickBroker(broker, kStart + Duration(49'000), out);
@@ -272,23 +269,23 @@
 
 TEST_CASE(
     "the broker keeps a server's wish over changes of the list, and forgets it with its life") {
-  SlotBroker broker = BrokerWith({EngineBorn("s0", 1'000)});
-  HearWord(broker, "a", Wish("s0", 5 * kSecond, 1'000), kStart);
-  SetServers(broker, {Engine("r9"), EngineBorn("s0", 1'000)});
+  SlotBroker broker = BrokerWith({EngineStartedAt("s0", 1'000)});
+  ApplyServerNotice(broker, "a", BackOffNotice("s0", 5 * kSecond, 1'000), kStart);
+  SetServers(broker, {Engine("r9"), EngineStartedAt("s0", 1'000)});
   CHECK(AskOnce(broker, "a", WantedPlace(1), kStart).m_server == "r9");
   CHECK(AskOnce(broker, "a", WantedPlace(2), kStart).m_server == "r9");
   CHECK(AskOnce(broker, "a", WantedPlace(3), kStart).m_verdict == SlotVerdict::kQueued);
-  SetServers(broker, {EngineBorn("s0", 2'000)});
+  SetServers(broker, {EngineStartedAt("s0", 2'000)});
   CHECK(AskOnce(broker, "a", WantedPlace(4), kStart).m_server == "s0");
-  // What was said by the earlier life comes late.
-  HearWord(broker, "a", Wish("s0", 5 * kSecond, 1'000), kStart);
+  // A notice of the earlier process arrives late.
+  ApplyServerNotice(broker, "a", BackOffNotice("s0", 5 * kSecond, 1'000), kStart);
   CHECK(AskOnce(broker, "a", WantedPlace(5), kStart).m_server == "s0");
 }
 
 TEST_CASE("the broker keeps nothing of wishes that are over") {
   SlotBroker broker = BrokerWith({Engine("s0"), Engine("s1")});
-  HearWord(broker, "a", Wish("s0", kSecond), kStart);
-  HearWord(broker, "b", Wish("s1", 2 * kSecond), kStart);
+  ApplyServerNotice(broker, "a", BackOffNotice("s0", kSecond), kStart);
+  ApplyServerNotice(broker, "b", BackOffNotice("s1", 2 * kSecond), kStart);
   std::vector<SlotResponse> out;
   TickBroker(broker, kStart + kSecond, out);
   CHECK(AskOnce(broker, "b", WantedPlace(1), kStart + kSecond).m_server == "s0");
@@ -300,15 +297,16 @@
 TEST_CASE("wishes are bounded by the instances that are asked at one time") {
   ServerNotices notices;
   for (int i = 0; i < 1'000; ++i)
-    TakeWord(notices, "holder" + std::to_string(i), Wish("s0", kSecond), kStart + i * kSecond);
+    RecordNotice(notices, "holder" + std::to_string(i), BackOffNotice("s0", kSecond),
+                 kStart + i * kSecond);
   CHECK(notices.m_back_off_until.size() == 1);
-  TakeWord(notices, "other", Wish("s0", Duration(-5)), kStart + 1'000 * kSecond);
+  RecordNotice(notices, "other", BackOffNotice("s0", Duration(-5)), kStart + 1'000 * kSecond);
   CHECK(notices.m_back_off_until.empty());
 }
 
 // ---- Servers that leave -------------------------------------------------------------------------
 
-/// A script of a server that answers well and says that it leaves.
+/// Returns a successful response which announces that the server is leaving.
 std::vector<ScriptStep> OkAndLeaving(const std::string& request) {
   return {Send(MakeResponseHead(request, "server-leaving: 1\r\ncontent-length: 2\r\n") + "ok")};
 }
@@ -323,7 +321,7 @@
   for (int i = 0; i < 20; ++i)
     CHECK(Call(fixture, Request("/safe/", "i" + std::to_string(i))).status() == 200);
   CHECK(leaving.requests().size() == 1);
-  // The registry's word of before doesn't bring it back.
+  // An older record of the registry doesn't revoke the notice.
   fixture.Register("s0", leaving);
   for (int i = 0; i < 20; ++i)
     CHECK(Call(fixture, Request("/safe/", "j" + std::to_string(i))).status() == 200);
@@ -337,14 +335,14 @@
   fixture.Register("s0", leaving);
   FakeBroker broker(fixture);
   for (int i = 0; i < 2; ++i) {
-    const std::size_t asked = broker.SlotRequests().size();
+    const std::size_t requested = broker.SlotRequests().size();
     BackgroundCall call(fixture, Request("/once/", "i" + std::to_string(i)));
-    fixture.RunUntil([&] { return broker.SlotRequests().size() > asked; });
+    fixture.RunUntil([&] { return broker.SlotRequests().size() > requested; });
     SendSlotResponse(fixture, broker.SlotRequests().back().m_ref, SlotVerdict::kPlaced, "s0");
     if (i == 0)
       CHECK(call.AwaitResponse(fixture).status() == 200);
   }
-  // Told once; the place that was given after it went back unused.
+  // The notice is sent once; the slot assigned after it is returned unused.
   REQUIRE(broker.ReceivedNotices().size() == 1);
   CHECK(broker.ReceivedNotices()[0].m_server == "s0");
   CHECK(broker.ReceivedNotices()[0].m_leaving);
@@ -414,7 +412,8 @@
   });
   ForwarderFixture fixture;
   fixture.Register("s9", other);
-  fixture.Register("s0", other);  // As the registry has it.
+  // The registry lists both servers at the same address.
+  fixture.Register("s0", other);
   (void)Call(fixture, Request("/safe/", "a"));
   const std::map<std::string, Backend>& backends = fixture.m_forwarder->state().m_backends;
   CHECK(backends.at("s9").m_announced_leaving);
@@ -438,23 +437,23 @@
 }
 
 TEST_CASE("the broker gives no instance a place at a server that told one of them that it leaves") {
-  SlotBroker broker = BrokerWith({EngineBorn("s0", 1'000), Engine("s1")});
+  SlotBroker broker = BrokerWith({EngineStartedAt("s0", 1'000), Engine("s1")});
   ServerNotice notice;
   notice.m_server = "s0";
   notice.m_started_ms = 1'000;
   notice.m_leaving = true;
-  HearWord(broker, "a", notice, kStart);
-  HearWord(broker, "b", notice, kStart);
+  ApplyServerNotice(broker, "a", notice, kStart);
+  ApplyServerNotice(broker, "b", notice, kStart);
   CHECK(broker.m_leaving_events == std::vector<LeavingServer>{{"s0", "a"}});
   CHECK(AskOnce(broker, "a", WantedPlace(1), kStart).m_server == "s1");
   CHECK(AskOnce(broker, "b", WantedPlace(2), kStart).m_server == "s1");
   CHECK(AskOnce(broker, "b", WantedPlace(3), kStart).m_verdict == SlotVerdict::kQueued);
-  // The registry doesn't know it yet.
-  SetServers(broker, {EngineBorn("s0", 1'000), Engine("s2")});
+  // The registry's record doesn't have it yet.
+  SetServers(broker, {EngineStartedAt("s0", 1'000), Engine("s2")});
   CHECK(AskOnce(broker, "b", WantedPlace(4), kStart).m_server == "s2");
   CHECK(AskOnce(broker, "b", WantedPlace(5), kStart).m_server == "s2");
   CHECK(AskOnce(broker, "b", WantedPlace(6), kStart).m_verdict == SlotVerdict::kQueued);
-  SetServers(broker, {EngineBorn("s0", 2'000)});
+  SetServers(broker, {EngineStartedAt("s0", 2'000)});
   CHECK(AskOnce(broker, "b", WantedPlace(7), kStart).m_server == "s0");
 }
 
--- a/tests/slot_broker_test.cc
+++ b/tests/slot_broker_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// The one broker of places: exact counts, one order, one place for each request.
+// The slot broker: exact counts, one order of service, one slot for each request.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <set>
@@ -18,7 +18,7 @@
   return BrokerFor({"a", "b"}, servers);
 }
 
-SlotRequest PlaceWanted(SlotRef ref, Tier route_tier = 0) {
+SlotRequest WantedSlot(SlotRef ref, Tier route_tier = 0) {
   SlotRequest slot_request = WantedPlace(ref);
   slot_request.m_tier = route_tier;
   slot_request.m_shape.m_tier = route_tier;
@@ -27,7 +27,7 @@
 }
 
 SlotRequest Costly(SlotRef ref, double cost, double rate) {
-  SlotRequest slot_request = PlaceWanted(ref);
+  SlotRequest slot_request = WantedSlot(ref);
   slot_request.m_workspace = "north";
   slot_request.m_quota.m_cost = cost;
   slot_request.m_limit = {rate, rate};
@@ -61,9 +61,9 @@
   SlotBroker broker = BrokerWith({Server("s0", 2), Server("s1", 1)});
   int placed = 0;
   for (SlotRef ref = 1; ref <= 6; ++ref) {
-    const auto answers = AskFor(broker, ref % 2 == 0 ? "a" : "b", PlaceWanted(ref));
-    REQUIRE(answers.size() == 1);
-    placed += answers[0].m_verdict == SlotVerdict::kPlaced ? 1 : 0;
+    const auto responses = AskFor(broker, ref % 2 == 0 ? "a" : "b", WantedSlot(ref));
+    REQUIRE(responses.size() == 1);
+    placed += responses[0].m_verdict == SlotVerdict::kPlaced ? 1 : 0;
   }
   CHECK(placed == 3);
   CHECK(Taken(broker) == 3);
@@ -73,10 +73,10 @@
 
 TEST_CASE("a place that comes free goes at once to what is most urgent, then to what came first") {
   SlotBroker broker = BrokerWith({Server("s0", 1)});
-  (void)AskFor(broker, "a", PlaceWanted(1));
-  CHECK(AskFor(broker, "a", PlaceWanted(2, 1))[0].m_verdict == SlotVerdict::kQueued);
-  CHECK(AskFor(broker, "b", PlaceWanted(3, 0))[0].m_verdict == SlotVerdict::kQueued);
-  CHECK(AskFor(broker, "a", PlaceWanted(4, 0))[0].m_verdict == SlotVerdict::kQueued);
+  (void)AskFor(broker, "a", WantedSlot(1));
+  CHECK(AskFor(broker, "a", WantedSlot(2, 1))[0].m_verdict == SlotVerdict::kQueued);
+  CHECK(AskFor(broker, "b", WantedSlot(3, 0))[0].m_verdict == SlotVerdict::kQueued);
+  CHECK(AskFor(broker, "a", WantedSlot(4, 0))[0].m_verdict == SlotVerdict::kQueued);
   std::vector<SlotRef> order;
   SlotRef running = 1;
   std::string instance = "a";
@@ -94,8 +94,8 @@
 
 TEST_CASE("a place request that was withdrawn gets no place") {
   SlotBroker broker = BrokerWith({Server("s0", 1)});
-  (void)AskFor(broker, "a", PlaceWanted(1));
-  (void)AskFor(broker, "b", PlaceWanted(2));
+  (void)AskFor(broker, "a", WantedSlot(1));
+  (void)AskFor(broker, "b", WantedSlot(2));
   CancelRequest(broker, "b", 2);
   std::vector<SlotResponse> out;
   ApplyReport(broker, "a", End(1), kStart, out);
@@ -105,7 +105,7 @@
 
 TEST_CASE("what finds no room in its time is refused, and costs its workspace nothing") {
   SlotBroker broker = BrokerWith({Server("s0", 1)});
-  (void)AskFor(broker, "a", PlaceWanted(1));
+  (void)AskFor(broker, "a", WantedSlot(1));
   (void)AskFor(broker, "a", Costly(2, 100, 1'000));
   const double left = broker.m_limits.at("north").m_tokens;
   std::vector<SlotResponse> out;
@@ -127,7 +127,7 @@
   CHECK(broker.m_limits.at("north").m_tokens == Approx(left));
   ApplyReport(broker, "a", End(2, false), kStart, out);
   CHECK(broker.m_limits.at("north").m_tokens == Approx(left + 100));
-  // A second word on the same place changes nothing.
+  // A second report on the same slot changes nothing.
   ApplyReport(broker, "a", End(2, false), kStart, out);
   CHECK(broker.m_limits.at("north").m_tokens == Approx(left + 100));
   CHECK(Taken(broker) == 0);
@@ -135,8 +135,8 @@
 
 TEST_CASE("the places of an instance that is gone come free") {
   SlotBroker broker = BrokerWith({Server("s0", 1)});
-  (void)AskFor(broker, "a", PlaceWanted(1));
-  (void)AskFor(broker, "b", PlaceWanted(2));
+  (void)AskFor(broker, "a", WantedSlot(1));
+  (void)AskFor(broker, "b", WantedSlot(2));
   std::vector<SlotResponse> out;
   RemoveInstance(broker, "a", kStart + Duration(1'000), out);
   REQUIRE(out.size() == 1);
@@ -147,8 +147,8 @@
 
 TEST_CASE("an instance that tells anew what it holds is counted once") {
   SlotBroker broker = BrokerWith({Server("s0", 4)});
-  (void)AskFor(broker, "a", PlaceWanted(1));
-  (void)AskFor(broker, "a", PlaceWanted(2));
+  (void)AskFor(broker, "a", WantedSlot(1));
+  (void)AskFor(broker, "a", WantedSlot(2));
   SlotBatch batch;
   batch.m_epoch = 1;
   batch.m_resync = true;
@@ -166,7 +166,7 @@
   Resync(broker, "a", 4, kStart);
   int placed = 0;
   for (SlotRef ref = 1; ref <= 8; ++ref)
-    placed += AskFor(broker, "a", PlaceWanted(ref))[0].m_verdict == SlotVerdict::kPlaced ? 1 : 0;
+    placed += AskFor(broker, "a", WantedSlot(ref))[0].m_verdict == SlotVerdict::kPlaced ? 1 : 0;
   CHECK(placed == 2);
   for (const std::string instance : {"b", "c", "d"})
     Resync(broker, instance, 4, kStart);
@@ -185,7 +185,7 @@
   broker.m_instance_slots.at("a").m_last_heard = kStart + 2 * kSecond;
   TickBroker(broker, kStart + 2 * kSecond, out);
   CHECK(ReachableShare(broker) == 0.25);
-  // Who is silent for longer than it may serve no longer counts.
+  // An instance that is unreachable for longer than it may serve no longer counts.
   broker.m_instance_slots.at("a").m_last_heard = kStart + 7 * kSecond;
   TickBroker(broker, kStart + 7 * kSecond, out);
   CHECK(ReachableShare(broker) == 1);
@@ -194,18 +194,18 @@
 TEST_CASE("what an earlier broker said to be left is taken over, its own word is not") {
   SlotBroker broker = MakeSlotBroker(2, 7, Duration(4'500'000), kStart);
   LimitReport report{"north", {1'000, 1'000}, 300, Duration(100'000), 1, 0};
-  HearLimit(broker, report, kStart);
+  ApplyLimitReport(broker, report, kStart);
   CHECK(broker.m_limits.at("north").m_tokens == Approx(400));
   report.m_age = Duration(200'000);
   report.m_limit_left = 900;
-  HearLimit(broker, report, kStart);  // An older word.
+  ApplyLimitReport(broker, report, kStart);  // An older level.
   CHECK(broker.m_limits.at("north").m_tokens == Approx(400));
   report.m_age = Duration(0);
   report.m_epoch = 2;
-  HearLimit(broker, report, kStart);  // This broker's own word.
+  ApplyLimitReport(broker, report, kStart);  // A level that this broker reported itself.
   CHECK(broker.m_limits.at("north").m_tokens == Approx(400));
   report.m_charged_without_broker = 150;
-  HearLimit(broker, report, kStart);
+  ApplyLimitReport(broker, report, kStart);
   CHECK(broker.m_limits.at("north").m_tokens == Approx(250));
 }
 
@@ -215,10 +215,10 @@
   int failures = 0;
   for (SlotRef ref = 1; ref <= 40; ++ref) {
     const std::string instance = ref % 2 == 0 ? "a" : "b";
-    const SlotResponse answer = AskFor(broker, instance, PlaceWanted(ref))[0];
-    REQUIRE(answer.m_verdict == SlotVerdict::kPlaced);
+    const SlotResponse response = AskFor(broker, instance, WantedSlot(ref))[0];
+    REQUIRE(response.m_verdict == SlotVerdict::kPlaced);
     SlotReport report = End(ref);
-    const bool bad = answer.m_server == "s0";
+    const bool bad = response.m_server == "s0";
     failures += bad ? 1 : 0;
     report.m_health_signal = bad ? HealthSignal::kFailure : HealthSignal::kSuccess;
     ApplyReport(broker, instance, report, kStart, out);
@@ -233,13 +233,13 @@
   Instant now = kStart;
   SlotRef ref = 0;
   for (int step = 0; step < 2'000; ++step, now += Duration(5'000)) {
-    RequestSlot(broker, "a", PlaceWanted(++ref), now, out);
-    const SlotResponse answer = out.back();
-    REQUIRE(answer.m_verdict == SlotVerdict::kPlaced);
+    RequestSlot(broker, "a", WantedSlot(++ref), now, out);
+    const SlotResponse response = out.back();
+    REQUIRE(response.m_verdict == SlotVerdict::kPlaced);
     SlotReport report = End(ref);
     report.m_health_signal =
-        answer.m_server == "s0" ? HealthSignal::kFailure : HealthSignal::kSuccess;
-    if (answer.m_server == "s0")
+        response.m_server == "s0" ? HealthSignal::kFailure : HealthSignal::kSuccess;
+    if (response.m_server == "s0")
       tries.push_back(now);
     ApplyReport(broker, "a", report, now, out);
   }
@@ -255,7 +255,7 @@
       ServerHealth{.m_failures = 3, .m_ejected_until = kStart - Duration(1)};
   int at_suspect = 0;
   for (SlotRef ref = 1; ref <= 4; ++ref)
-    at_suspect += AskFor(broker, "a", PlaceWanted(ref))[0].m_server == "s0" ? 1 : 0;
+    at_suspect += AskFor(broker, "a", WantedSlot(ref))[0].m_server == "s0" ? 1 : 0;
   CHECK(at_suspect == 1);
 }
 
@@ -270,19 +270,19 @@
   }
   std::set<std::string> used;
   for (SlotRef ref = 1; ref <= 4; ++ref)
-    used.insert(AskFor(broker, "a", PlaceWanted(ref))[0].m_server);
+    used.insert(AskFor(broker, "a", WantedSlot(ref))[0].m_server);
   CHECK(used == std::set<std::string>{"", "s2", "s3"});
 }
 
 TEST_CASE("a server that begins to leave gets nothing more, and what it has is still counted") {
   SlotBroker broker = BrokerWith({Server("s0", 2)});
-  (void)AskFor(broker, "a", PlaceWanted(1));
+  (void)AskFor(broker, "a", WantedSlot(1));
   BackendServer leaving = Server("s0", 2);
   leaving.m_leaving = true;
   SetServers(broker, {leaving, Server("s1", 2)});
   CHECK(Taken(broker) == 1);
   for (SlotRef ref = 2; ref <= 3; ++ref)
-    CHECK(AskFor(broker, "a", PlaceWanted(ref))[0].m_server == "s1");
+    CHECK(AskFor(broker, "a", WantedSlot(ref))[0].m_server == "s1");
   std::vector<SlotResponse> out;
   ApplyReport(broker, "a", End(1), kStart, out);
   CHECK(Taken(broker) == 2);
@@ -290,7 +290,7 @@
 
 TEST_CASE("a prompt goes where its parts are kept, if that costs no wait") {
   SlotBroker broker = BrokerWith({Server("s0", 8), Server("s1", 8), Server("s2", 8)});
-  SlotRequest first = PlaceWanted(1);
+  SlotRequest first = WantedSlot(1);
   first.m_prompt_segments = {{11, 60}, {12, 500}};
   const std::string server = AskFor(broker, "a", first)[0].m_server;
   std::vector<SlotResponse> out;
@@ -307,8 +307,8 @@
 }
 
 TEST_CASE("how fast places come free is still known after a change of servers") {
-  // A pool that is full and short, whose places came free all the time: what can't be served in
-  // time is refused at once, with a time to come back.
+  // In a full pool whose slots come free at a known rate, a request that can't be served in time is
+  // rejected at once, with an estimated wait.
   const auto verdict_of_last = [](bool servers_change) {
     SlotBroker broker = BrokerWith({Server("s0", 4), Server("s1", 4)});
     BackendServer leaving = Server("s2", 4);
@@ -317,24 +317,24 @@
     Instant now = kStart;
     SlotRef ref = 0;
     for (int i = 0; i < 8; ++i)
-      RequestSlot(broker, "a", PlaceWanted(++ref), now, out);
+      RequestSlot(broker, "a", WantedSlot(++ref), now, out);
     for (SlotRef ended = 1; ended <= 24; ++ended) {
       now += Duration(100'000);
       ApplyReport(broker, "a", End(ended), now, out);
-      RequestSlot(broker, "a", PlaceWanted(++ref), now, out);
+      RequestSlot(broker, "a", WantedSlot(++ref), now, out);
     }
     for (int i = 0; i < 40; ++i)
-      RequestSlot(broker, "b", PlaceWanted(++ref), now, out);
+      RequestSlot(broker, "b", WantedSlot(++ref), now, out);
     if (servers_change)
       SetServers(broker, {Server("s0", 4), Server("s1", 4), leaving});
-    RequestSlot(broker, "b", PlaceWanted(++ref), now, out);
+    RequestSlot(broker, "b", WantedSlot(++ref), now, out);
     return out.back();
   };
   CHECK(verdict_of_last(false).m_verdict == SlotVerdict::kNoRoom);
   CHECK(verdict_of_last(true).m_verdict == SlotVerdict::kNoRoom);
 }
 
-/// A pool of two versions with a roll-out to v2 under way.
+/// Returns a broker for a pool of two versions with a roll-out to v2 in progress.
 SlotBroker InRollout(bool moving, std::int64_t allowed) {
   std::vector<BackendServer> servers;
   for (int i = 0; i < 8; ++i) {
@@ -351,12 +351,12 @@
   return server >= "s4";
 }
 
-int AtTarget(SlotBroker& broker, int asks) {
+int AtTarget(SlotBroker& broker, int requests) {
   int at_target = 0;
   std::vector<SlotResponse> out;
-  for (SlotRef ref = 1; ref <= asks; ++ref) {
-    const SlotResponse answer = AskFor(broker, "a", PlaceWanted(ref))[0];
-    at_target += IsTarget(answer.m_server) ? 1 : 0;
+  for (SlotRef ref = 1; ref <= requests; ++ref) {
+    const SlotResponse response = AskFor(broker, "a", WantedSlot(ref))[0];
+    at_target += IsTarget(response.m_server) ? 1 : 0;
     ApplyReport(broker, "a", End(ref), kStart, out);
   }
   return at_target;
@@ -397,15 +397,15 @@
   RolloutTrial& trial = *broker.m_pools.at("engines").m_trial;
   std::vector<SlotResponse> out;
   for (SlotRef ref = 1; ref <= 600; ++ref) {
-    // As the leader's steps let it out.
+    // The leader raises the allowed number of trial requests in steps.
     trial.m_allowed = std::min<std::int64_t>(ref / 8, AllowedBy({0.1, 50}, trial.m_requests));
-    SlotRequest slot_request = PlaceWanted(ref);
+    SlotRequest slot_request = WantedSlot(ref);
     slot_request.m_route = 7;
-    const SlotResponse answer = AskFor(broker, "a", slot_request)[0];
-    if (answer.m_verdict != SlotVerdict::kPlaced)
+    const SlotResponse response = AskFor(broker, "a", slot_request)[0];
+    if (response.m_verdict != SlotVerdict::kPlaced)
       continue;
     SlotReport report = End(ref);
-    report.m_failed = IsTarget(answer.m_server) && ref % 5 < 2;
+    report.m_failed = IsTarget(response.m_server) && ref % 5 < 2;
     report.m_health_signal = report.m_failed ? HealthSignal::kFailure : HealthSignal::kSuccess;
     ApplyReport(broker, "a", report, kStart + Duration(ref * 10'000), out);
   }
--- a/tests/slot_turnover_test.cc
+++ b/tests/slot_turnover_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// When a place comes free for a request, and what the broker makes of it.
+// Forecasts of when a slot comes free, and the broker's decisions that follow from them.
 #include <catch2/catch.hpp>
 
 #include "poppyway/policy.h"
@@ -10,58 +10,59 @@
 
 const Instant kStart{Duration(10'000'000)};
 
-/// A pool that frees and is asked for this many places a second, for five seconds.
+/// Returns the turnover of a pool with these rates of freed slots and urgent requests after 5 s.
 SlotTurnover Steady(int freed_per_s, int urgent_per_s) {
-  SlotTurnover flow;
-  flow.m_at = kStart;
+  SlotTurnover turnover;
+  turnover.m_at = kStart;
   for (int ms = 0; ms < 5'000; ++ms) {
     const Instant now = kStart + ms * Duration(1'000);
     if (ms * freed_per_s / 1'000 != (ms + 1) * freed_per_s / 1'000)
-      flow = CountFreed(flow, Duration(100'000), now);
+      turnover = CountFreed(turnover, Duration(100'000), now);
     if (ms * urgent_per_s / 1'000 != (ms + 1) * urgent_per_s / 1'000)
-      flow = CountAsked(flow, 0, now);
+      turnover = CountRequested(turnover, 0, now);
   }
-  return flow;
+  return turnover;
 }
 
 TEST_CASE("a request waits for those ahead of it at the rate at which places come free") {
-  const SlotTurnover flow = Steady(100, 0);
-  const std::optional<Duration> forecast = ForecastWait(flow, 0, 9, 10);
+  const SlotTurnover turnover = Steady(100, 0);
+  const std::optional<Duration> forecast = ForecastWait(turnover, 0, 9, 10);
   REQUIRE(forecast);
   CHECK(Seconds(*forecast) == Approx(0.1).epsilon(0.05));
 }
 
 TEST_CASE("what is more urgent goes on to arrive and takes its part of the places first") {
-  const SlotTurnover flow = Steady(100, 60);
-  CHECK(Seconds(*ForecastWait(flow, 0, 9, 10)) == Approx(0.1).epsilon(0.05));
-  CHECK(Seconds(*ForecastWait(flow, 1, 9, 10)) == Approx(0.25).epsilon(0.1));
+  const SlotTurnover turnover = Steady(100, 60);
+  CHECK(Seconds(*ForecastWait(turnover, 0, 9, 10)) == Approx(0.1).epsilon(0.05));
+  CHECK(Seconds(*ForecastWait(turnover, 1, 9, 10)) == Approx(0.25).epsilon(0.1));
   CHECK(*ForecastWait(Steady(100, 120), 1, 0, 10) == kLongestWait);
 }
 
 TEST_CASE("a pool that was half used frees twice as much once it is full") {
-  const SlotTurnover flow = Steady(50, 0);  // Five of ten places, 100 ms each.
-  CHECK(Seconds(*ForecastWait(flow, 0, 9, 10)) == Approx(0.1).epsilon(0.05));
+  const SlotTurnover turnover = Steady(50, 0);  // Five of ten slots are in use, for 100 ms each.
+  CHECK(Seconds(*ForecastWait(turnover, 0, 9, 10)) == Approx(0.1).epsilon(0.05));
 }
 
 TEST_CASE("nothing is forecast from next to nothing, and a burst is forgotten within seconds") {
-  SlotTurnover flow;
-  CHECK_FALSE(ForecastWait(flow, 0, 0, 0));
-  flow = Steady(100, 200);
-  CHECK(*ForecastWait(flow, 2, 0, 10) == kLongestWait);
+  SlotTurnover turnover;
+  CHECK_FALSE(ForecastWait(turnover, 0, 0, 0));
+  turnover = Steady(100, 200);
+  CHECK(*ForecastWait(turnover, 2, 0, 10) == kLongestWait);
   for (int i = 0; i < 300; ++i)
-    flow = CountFreed(flow, Duration(100'000), kStart + Duration(5'000'000) + i * Duration(10'000));
-  CHECK(*ForecastWait(flow, 2, 0, 10) < Duration(50'000));
+    turnover = CountFreed(turnover, Duration(100'000),
+                          kStart + Duration(5'000'000) + i * Duration(10'000));
+  CHECK(*ForecastWait(turnover, 2, 0, 10) < Duration(50'000));
 }
 
 TEST_CASE(
     "a burst over capacity is refused at once beyond what can be in time, told when to return") {
-  // 200 short requests at once for ten places that are each free again after 100 ms.
+  // 200 short requests arrive at once for ten slots that each come free after 100 ms.
   SlotBroker broker = MakeSlotBroker(1, 7, Duration(4'500'000), kStart);
   SetServers(broker, {{"s0", "pool", "east", 10, false}});
   Resync(broker, "a", 1, kStart);
   std::vector<SlotResponse> out;
   SlotRef next = 1;
-  const auto want_place = [&](Instant now) {
+  const auto request_slot = [&](Instant now) {
     SlotRequest slot_request;
     slot_request.m_ref = next++;
     slot_request.m_pool = "pool";
@@ -76,17 +77,17 @@
   std::size_t read = 0;
   int placed = 0;
   int late = 0;
-  int refused_at_once = 0;
-  const auto take = [&](Instant now, Instant asked) {
+  int rejected_at_once = 0;
+  const auto take = [&](Instant now, Instant requested_at) {
     for (; read < out.size(); ++read) {
-      const SlotResponse& answer = out[read];
-      if (answer.m_verdict == SlotVerdict::kPlaced) {
-        running.emplace_back(now + Duration(100'000), answer.m_ref);
+      const SlotResponse& response = out[read];
+      if (response.m_verdict == SlotVerdict::kPlaced) {
+        running.emplace_back(now + Duration(100'000), response.m_ref);
         ++placed;
-        late += now - asked > Duration(800'000) ? 1 : 0;
-      } else if (answer.m_verdict == SlotVerdict::kNoRoom && now == asked) {
-        CHECK(answer.m_estimated_wait > Duration(500'000));
-        ++refused_at_once;
+        late += now - requested_at > Duration(800'000) ? 1 : 0;
+      } else if (response.m_verdict == SlotVerdict::kNoRoom && now == requested_at) {
+        CHECK(response.m_estimated_wait > Duration(500'000));
+        ++rejected_at_once;
       }
     }
   };
@@ -105,17 +106,17 @@
       ApplyReport(broker, "a", end, now, out);
     }
     if (ms < 2'000 && ms % 20 == 0)
-      want_place(now);  // Half of the capacity, so that the flow is known.
+      request_slot(now);  // Half of the capacity, so that the turnover is known.
     if (ms == 2'000) {
       burst = now;
       for (int i = 0; i < 200; ++i)
-        want_place(now);
+        request_slot(now);
     }
     TickBroker(broker, now, out);
     take(now, ms >= 2'000 ? burst : now);
   }
   CHECK(late == 0);
-  CHECK(refused_at_once >= 100);  // 200 less ten and what comes free in 0.68 s.
+  CHECK(rejected_at_once >= 100);  // 200 less ten and those that come free in 0.68 s.
   CHECK(placed >= 100 + 60);
 }
 
--- a/tests/withheld_limit_test.cc
+++ b/tests/withheld_limit_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// A limit while some instances are cut off from the broker, and when they are back.
+// A limit while some instances are disconnected from the broker, and after they reconnect.
 #include <catch2/catch.hpp>
 
 #include "poppyway/policy.h"
@@ -15,8 +15,9 @@
 constexpr double kCost = 10;
 const Instant kStart{100 * kSecond};
 
-/// One of three hundred requests a second, more than the limit allows.
-double AskAndEnd(SlotBroker& broker, const std::string& instance, SlotRef ref, Instant now) {
+/// Sends and ends a request; returns its cost if it was placed. Three hundred of them per second
+/// exceed the limit.
+double RequestAndEnd(SlotBroker& broker, const std::string& instance, SlotRef ref, Instant now) {
   SlotRequest slot_request;
   slot_request.m_ref = ref;
   slot_request.m_pool = "engines";
@@ -36,12 +37,12 @@
   return kCost;
 }
 
-struct Cut {
+struct Disconnection {
   SlotBroker m_broker;
   double m_spent = 0;
   SlotRef m_next = 1;
 
-  Cut() : m_broker(MakeSlotBroker(1, 7, kMayServe, kStart - 10 * kSecond)) {
+  Disconnection() : m_broker(MakeSlotBroker(1, 7, kMayServe, kStart - 10 * kSecond)) {
     BackendServer server;
     server.m_id = "s0";
     server.m_pool = "engines";
@@ -50,48 +51,48 @@
     for (const std::string instance : {"a", "b", "c", "d"})
       Resync(m_broker, instance, 4, kStart);
   }
-  /// `heard` of the four instances ask, others are silent.
-  void Play(Duration from, Duration until, int heard) {
+  /// `connected` of the four instances send requests; the others are disconnected.
+  void Play(Duration from, Duration until, int connected) {
     for (Instant now = kStart + from; now < kStart + until; now += Duration(3'333)) {
       std::vector<SlotResponse> out;
       TickBroker(m_broker, now, out);
-      const std::string instance(1, static_cast<char>('a' + m_next % heard));
-      m_spent += AskAndEnd(m_broker, instance, m_next++, now);
+      const std::string instance(1, static_cast<char>('a' + m_next % connected));
+      m_spent += RequestAndEnd(m_broker, instance, m_next++, now);
     }
   }
-  void Return(double spent_alone, Duration at) {
+  void Reconnect(double spent_without_broker, Duration at) {
     Resync(m_broker, "d", 4, kStart + at);
     LimitReport report;
     report.m_workspace = "north";
     report.m_limit = {kRate, kRate};
-    report.m_charged_without_broker = spent_alone;
-    HearLimit(m_broker, report, kStart + at);
-    m_spent += spent_alone;
+    report.m_charged_without_broker = spent_without_broker;
+    ApplyLimitReport(m_broker, report, kStart + at);
+    m_spent += spent_without_broker;
   }
 };
 
 TEST_CASE("an instance that returns from a cut with its part spent leaves no debt to others") {
-  Cut cut;
-  cut.Play(Duration(0), 2 * kSecond, 4);
-  cut.Play(2 * kSecond, 7 * kSecond, 3);
-  // A quarter of the rate for as long as it may serve on.
-  cut.Return(kRate / 4 * 4.5, 7 * kSecond);
-  CHECK(cut.m_broker.m_limits.at("north").m_tokens > -kRate / 2);
-  const double before = cut.m_spent;
-  cut.Play(7 * kSecond, 8 * kSecond, 4);
-  CHECK(cut.m_spent - before > 0.5 * kRate);
-  CHECK(cut.m_spent <= 8 * kRate + kRate + kCost);  // One request may overdraw a limit.
+  Disconnection run;
+  run.Play(Duration(0), 2 * kSecond, 4);
+  run.Play(2 * kSecond, 7 * kSecond, 3);
+  // The instance spent a quarter of the rate for as long as it may serve.
+  run.Reconnect(kRate / 4 * 4.5, 7 * kSecond);
+  CHECK(run.m_broker.m_limits.at("north").m_tokens > -kRate / 2);
+  const double before = run.m_spent;
+  run.Play(7 * kSecond, 8 * kSecond, 4);
+  CHECK(run.m_spent - before > 0.5 * kRate);
+  CHECK(run.m_spent <= 8 * kRate + kRate + kCost);  // One request may overdraw the limit.
 }
 
 TEST_CASE("what is withheld for instances that never return is given to nobody twice") {
-  Cut cut;
-  cut.Play(Duration(0), 2 * kSecond, 4);
-  cut.Play(2 * kSecond, 12 * kSecond, 3);
-  CHECK(cut.m_broker.m_limits.at("north").m_withheld <= kRate / 4 * 4.5 + 1);
-  cut.Return(0, 12 * kSecond);
-  cut.Play(12 * kSecond, 15 * kSecond, 4);
-  CHECK(cut.m_broker.m_limits.at("north").m_withheld == 0);
-  CHECK(cut.m_spent <= 15 * kRate + kRate + kCost);
+  Disconnection run;
+  run.Play(Duration(0), 2 * kSecond, 4);
+  run.Play(2 * kSecond, 12 * kSecond, 3);
+  CHECK(run.m_broker.m_limits.at("north").m_withheld <= kRate / 4 * 4.5 + 1);
+  run.Reconnect(0, 12 * kSecond);
+  run.Play(12 * kSecond, 15 * kSecond, 4);
+  CHECK(run.m_broker.m_limits.at("north").m_withheld == 0);
+  CHECK(run.m_spent <= 15 * kRate + kRate + kCost);
 }
 
 TEST_CASE("what is spent alone beyond the withheld part is charged as before") {
