--- a/tests/instance_share_test.cc
+++ b/tests/instance_share_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What an instance takes of a server's places while no broker answers.
+// The share of a server's slots that an instance uses without a broker.
 #include <catch2/catch.hpp>
 
 #include "forwarder_fixture.h"
@@ -11,12 +11,12 @@
 namespace {
 
 TEST_CASE("even parts of all instances add up to the places there are") {
-  for (const int places : {1, 4, 15}) {
+  for (const int slots : {1, 4, 15}) {
     for (const int instances : {1, 3, 8, 69}) {
       int sum = 0;
-      for (int turn = 0; turn < instances; ++turn)
-        sum += EvenShare(places, instances, static_cast<std::uint64_t>(turn));
-      CHECK(sum == places);
+      for (int rotation = 0; rotation < instances; ++rotation)
+        sum += EvenShare(slots, instances, static_cast<std::uint64_t>(rotation));
+      CHECK(sum == slots);
     }
   }
 }
--- a/tests/slot_broker_fixture.h
+++ b/tests/slot_broker_fixture.h
@@ -14,7 +14,7 @@
 inline constexpr Duration kSecond{1'000'000};
 inline const Instant kStart{Duration(10'000'000)};
 
-/// An engine with two places.
+/// Returns an engine with two slots.
 inline BackendServer Engine(const std::string& id, const std::string& data_centre = "east") {
   BackendServer server;
   server.m_id = id;
@@ -24,7 +24,7 @@
   return server;
 }
 
-/// A broker of these servers, which all instances have told by `kStart` that they hold nothing.
+/// Returns a broker of these servers. At `kStart` all instances report that they hold no slots.
 inline SlotBroker BrokerFor(const std::vector<std::string>& holders,
                             const std::vector<BackendServer>& servers,
                             Instant began = kStart) {
@@ -35,7 +35,7 @@
   return broker;
 }
 
-/// A request for an engine, which has no queue of its own: it is placed within the slots only.
+/// Returns a request for an engine. Engines have no queue, so it is assigned only a free slot.
 inline SlotRequest WantedPlace(SlotRef ref) {
   SlotRequest slot_request;
   slot_request.m_ref = ref;
@@ -48,7 +48,7 @@
   return slot_request;
 }
 
-/// The broker's one answer to a place request.
+/// Returns the broker's only response to a slot request.
 inline SlotResponse AskOnce(SlotBroker& broker,
                             const std::string& instance,
                             SlotRequest slot_request,
--- a/tests/slot_overload_test.cc
+++ b/tests/slot_overload_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// A pool that is short of places for half a minute: who is served, and who is not.
+// A pool that is short of slots for half a minute: which requests are served.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -17,9 +17,9 @@
 
 constexpr Duration kMillisecond{1'000};
 
-/// The mix of an exam session: few long summaries, most urgent; many explanations; short checks,
-/// least urgent. Rates are those of a working day; `load` multiplies them. Answers' lengths have a
-/// heavy tail, callers' own estimates are right in the median only.
+/// Returns the load of an exam session: few long summaries (most urgent), many explanations, and
+/// short checks (least urgent). Rates are those of a working day times `load`. Response lengths
+/// have a heavy tail, and the callers' own estimates are right only in the median.
 SimulatedDay Session(double load, std::uint64_t seed) {
   SimulatedDay day;
   day.m_seed = seed;
@@ -33,10 +33,10 @@
 
 void Print(const SimulatedResult& result) {
   std::string text = "all " + std::to_string(result.m_all.share());
-  for (const auto& [rank, outcome] : result.m_by_rank) {
-    text += "; rank " + std::to_string(rank) + " " + std::to_string(outcome.share());
-    text += " largest " + std::to_string(result.m_largest_tenth.at(rank).share());
-    text += " next " + std::to_string(result.m_next_fifth.at(rank).share());
+  for (const auto& [tier, outcome] : result.m_by_rank) {
+    text += "; rank " + std::to_string(tier) + " " + std::to_string(outcome.share());
+    text += " largest " + std::to_string(result.m_largest_tenth.at(tier).share());
+    text += " next " + std::to_string(result.m_next_fifth.at(tier).share());
   }
   UNSCOPED_INFO(text);
 }
@@ -45,10 +45,10 @@
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     const SimulatedResult result = PoolSimulation(Session(1.4, seed)).Play();
     Print(result);
-    for (const auto& [rank, outcome] : result.m_by_rank) {
+    for (const auto& [tier, outcome] : result.m_by_rank) {
       CHECK(outcome.share() >= 0.5 * result.m_all.share());
-      CHECK(result.m_largest_tenth.at(rank).share() >= 0.5 * outcome.share());
-      CHECK(result.m_next_fifth.at(rank).share() >= 0.5 * outcome.share());
+      CHECK(result.m_largest_tenth.at(tier).share() >= 0.5 * outcome.share());
+      CHECK(result.m_next_fifth.at(tier).share() >= 0.5 * outcome.share());
     }
   }
 }
--- a/tests/slot_restarts_test.cc
+++ b/tests/slot_restarts_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// The broker and servers that start again under their id.
+// The slot broker and servers that restart under the same id.
 #include <catch2/catch.hpp>
 
 #include "slot_broker_fixture.h"
@@ -38,7 +38,7 @@
   return report;
 }
 
-void Tell(SlotBroker& broker, const SlotReport& report) {
+void SendReport(SlotBroker& broker, const SlotReport& report) {
   std::vector<SlotResponse> out;
   ApplyReport(broker, "a", report, kStart + kMilli, out);
 }
@@ -53,11 +53,11 @@
 
 TEST_CASE("a place says at which life of its server it is, and where that is") {
   SlotBroker broker = BrokerWith(Server(5));
-  const SlotResponse answer = AskFor(broker, 1);
-  CHECK(answer.m_verdict == SlotVerdict::kPlaced);
-  CHECK(answer.m_started_ms == 5);
-  CHECK(answer.m_address == "10.0.0.1");
-  CHECK(answer.m_port == 80);
+  const SlotResponse response = AskFor(broker, 1);
+  CHECK(response.m_verdict == SlotVerdict::kPlaced);
+  CHECK(response.m_started_ms == 5);
+  CHECK(response.m_address == "10.0.0.1");
+  CHECK(response.m_port == 80);
 }
 
 TEST_CASE("a server that started again is empty, whatever is held at its earlier life") {
@@ -70,10 +70,10 @@
     SetServers(broker, {Server(9, address)});
     CHECK(ViewOf(broker).m_other_in_flight == 0);
     CHECK(ViewOf(broker).m_pending_prefill_tokens == 0);
-    const SlotResponse answer = AskFor(broker, 4);
-    CHECK(answer.m_verdict == SlotVerdict::kPlaced);
-    CHECK(answer.m_started_ms == 9);
-    CHECK(answer.m_address == address);
+    const SlotResponse response = AskFor(broker, 4);
+    CHECK(response.m_verdict == SlotVerdict::kPlaced);
+    CHECK(response.m_started_ms == 9);
+    CHECK(response.m_address == address);
   }
 }
 
@@ -83,34 +83,34 @@
   (void)AskFor(broker, 2);
   SetServers(broker, {Server(9)});
   (void)AskFor(broker, 3);
-  const ServerPerformance pace = ViewOf(broker).m_performance;
+  const ServerPerformance performance = ViewOf(broker).m_performance;
   SlotReport first;
   first.m_ref = 1;
   first.m_time_to_first_event = 90 * kMilli;
   first.m_tokens_read = 600;
-  Tell(broker, first);
+  SendReport(broker, first);
   CHECK(ViewOf(broker).m_pending_prefill_tokens == 600);
   for (const SlotRef ref : {1, 2})
-    Tell(broker, End(ref, HealthSignal::kUnreachable));
+    SendReport(broker, End(ref, HealthSignal::kUnreachable));
   CHECK(ViewOf(broker).m_other_in_flight == 1);
   CHECK(ViewOf(broker).m_pending_prefill_tokens == 600);
-  CHECK(ViewOf(broker).m_performance == pace);
+  CHECK(ViewOf(broker).m_performance == performance);
   CHECK(HealthOf(broker) == ServerHealth{});
-  Tell(broker, End(3, HealthSignal::kSuccess));
+  SendReport(broker, End(3, HealthSignal::kSuccess));
   CHECK(ViewOf(broker).m_other_in_flight == 0);
   CHECK(ViewOf(broker).m_pending_prefill_tokens == 0);
-  CHECK_FALSE(ViewOf(broker).m_performance == pace);
+  CHECK_FALSE(ViewOf(broker).m_performance == performance);
 }
 
 TEST_CASE("of an earlier life only the pace stays known") {
   SlotBroker broker = BrokerWith(Server(5));
   (void)AskFor(broker, 1);
-  Tell(broker, End(1, HealthSignal::kSuccess));
-  const ServerPerformance pace = ViewOf(broker).m_performance;
-  REQUIRE_FALSE(pace == ServerPerformance{});
+  SendReport(broker, End(1, HealthSignal::kSuccess));
+  const ServerPerformance performance = ViewOf(broker).m_performance;
+  REQUIRE_FALSE(performance == ServerPerformance{});
   for (const SlotRef ref : {2, 3}) {
     (void)AskFor(broker, ref);
-    Tell(broker, End(ref, HealthSignal::kUnreachable));
+    SendReport(broker, End(ref, HealthSignal::kUnreachable));
   }
   REQUIRE(IsEjected(HealthOf(broker), kStart + kMilli));
   SetServers(broker, {Server(9)});
@@ -143,18 +143,18 @@
   held.m_started_ms = 9;
   Hold(broker, "a", held, kStart);
   held.m_ref = 3;
-  held.m_started_ms = 0;  // Its instance had no word of the birth.
+  held.m_started_ms = 0;  // The instance doesn't know the process start time.
   Hold(broker, "a", held, kStart);
   CHECK(ViewOf(broker).m_other_in_flight == 2);
   held.m_ref = 4;
-  held.m_started_ms = 12;  // Its instance has heard of the next life first.
+  held.m_started_ms = 12;  // The instance learned of the next process before the broker.
   Hold(broker, "a", held, kStart);
   CHECK(ViewOf(broker).m_other_in_flight == 2);
   SetServers(broker, {Server(12)});
   CHECK(ViewOf(broker).m_other_in_flight == 1);
   CHECK(ViewOf(broker).m_pending_prefill_tokens == 50);
   for (const SlotRef ref : {1, 2, 3, 4})
-    Tell(broker, End(ref, HealthSignal::kSuccess));
+    SendReport(broker, End(ref, HealthSignal::kSuccess));
   CHECK(ViewOf(broker).m_other_in_flight == 0);
   CHECK(ViewOf(broker).m_pending_prefill_tokens == 0);
 }
@@ -165,11 +165,11 @@
   (void)AskFor(broker, 2);
   SetServers(broker, {Server(5)});
   CHECK(ViewOf(broker).m_other_in_flight == 2);
-  Tell(broker, End(1, HealthSignal::kSuccess));
+  SendReport(broker, End(1, HealthSignal::kSuccess));
   CHECK(ViewOf(broker).m_other_in_flight == 1);
   SetServers(broker, {Server(9)});
   CHECK(ViewOf(broker).m_other_in_flight == 0);
-  Tell(broker, End(2, HealthSignal::kSuccess));
+  SendReport(broker, End(2, HealthSignal::kSuccess));
   CHECK(ViewOf(broker).m_other_in_flight == 0);
 }
 
@@ -195,7 +195,7 @@
   const auto bad = broker.m_pools.at("engines").m_trial->m_bad_runs;
   SlotReport report = End(1, HealthSignal::kFailure);
   report.m_failed = true;
-  Tell(broker, report);
+  SendReport(broker, report);
   CHECK(broker.m_pools.at("engines").m_trial->m_bad_runs == bad + 1);
 }
 
--- a/tests/slow_start_test.cc
+++ b/tests/slow_start_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What servers get while they are cold: from the broker, from instances alone, over any second.
+// Requests that cold servers get within any second, from the broker and from instances without it.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <deque>
@@ -27,7 +27,7 @@
   Instant m_at{};
 };
 
-/// The most that one server got within any second.
+/// Returns the most requests that one server got within any second.
 int MostInASecond(const std::vector<Sent>& all) {
   std::map<std::string, std::vector<Instant>> by_server;
   for (const Sent& sent : all)
@@ -62,8 +62,7 @@
   return servers;
 }
 
-/// A broker before callers that always have more to ask for than there are places. It began long
-/// before.
+/// A broker whose callers always have more requests than there are slots. It began long before.
 struct Rush {
   SlotBroker m_broker;
   Instant m_now = kStart;
@@ -90,21 +89,21 @@
   }
   void Take(const std::vector<BackendServer>& servers) { Take(servers, true, m_now); }
 
-  [[nodiscard]] const SlowStartState& RampOf(std::size_t i) const {
+  [[nodiscard]] const SlowStartState& SlowStartOf(std::size_t i) const {
     return m_broker.m_pools.at("apps").m_slow_starts[i];
   }
 
-  void Note(const std::vector<SlotResponse>& answers) {
-    for (const SlotResponse& answer : answers) {
-      ++m_verdicts[answer.m_verdict];
-      if (answer.m_verdict != SlotVerdict::kPlaced)
+  void Note(const std::vector<SlotResponse>& responses) {
+    for (const SlotResponse& response : responses) {
+      ++m_verdicts[response.m_verdict];
+      if (response.m_verdict != SlotVerdict::kPlaced)
         continue;
-      m_sent.push_back({answer.m_server, m_now});
-      m_ends.emplace_back(m_now + m_held, answer.m_ref);
+      m_sent.push_back({response.m_server, m_now});
+      m_ends.emplace_back(m_now + m_held, response.m_ref);
     }
   }
 
-  void AskOnce(Duration wait = 2 * kSecond) {
+  void RequestOne(Duration wait = 2 * kSecond) {
     SlotRequest slot_request;
     slot_request.m_ref = m_next++;
     slot_request.m_pool = "apps";
@@ -135,7 +134,7 @@
     for (const Instant end = m_now + time; m_now < end; m_now += kTick) {
       EndCalls();
       for (int i = 0; i < m_per_tick; ++i)
-        AskOnce();
+        RequestOne();
       std::vector<SlotResponse> out;
       TickBroker(m_broker, m_now, out);
       Note(out);
@@ -143,8 +142,8 @@
   }
 };
 
-/// One instance that decides alone before a cold server and always has a request for it.
-struct Lone {
+/// An instance without a broker that always has a request for a cold server.
+struct InstanceWithoutBroker {
   SlowStartState m_slow_start;
   void Step(int instances, std::mt19937& random, Instant now, std::vector<Sent>& sent) {
     std::uniform_real_distribution<double> part(0, 1);
@@ -156,15 +155,15 @@
   }
 };
 
-std::vector<Sent> SentByLone(int alone, int instances, unsigned seed) {
+std::vector<Sent> SentWithoutBroker(int count, int instances, unsigned seed) {
   std::mt19937 random(seed);
-  std::vector<Lone> lone(static_cast<std::size_t>(alone));
-  for (Lone& one : lone)
-    one.m_slow_start.m_cold_until = kStart + kLongAgo;
+  std::vector<InstanceWithoutBroker> senders(static_cast<std::size_t>(count));
+  for (InstanceWithoutBroker& sender : senders)
+    sender.m_slow_start.m_cold_until = kStart + kLongAgo;
   std::vector<Sent> sent;
   for (Instant now = kStart; now < kStart + 8 * kSecond; now += kTick) {
-    for (Lone& one : lone)
-      one.Step(instances, random, now, sent);
+    for (InstanceWithoutBroker& sender : senders)
+      sender.Step(instances, random, now, sent);
   }
   return sent;
 }
@@ -174,7 +173,7 @@
   rush.m_now = kStart + kSecond;
   rush.Run(5 * kSecond);
   CHECK(MostInASecond(rush.m_sent) <= 12);
-  // Nothing is left unused either, nor refused as if there were no servers.
+  // No capacity is left unused, and no request is rejected for lack of servers.
   CHECK(rush.m_sent.size() >= 32 * 12 * 5 * 9 / 10);
   CHECK(rush.m_verdicts[SlotVerdict::kNoServer] == 0);
 }
@@ -197,8 +196,8 @@
   Rush rush(Servers(2, 8 * kSecond));
   rush.m_now = kStart;
   for (int i = 0; i < 24; ++i)
-    rush.AskOnce();
-  CHECK(rush.m_verdicts[SlotVerdict::kPlaced] == 6);  // A quarter of what two handle.
+    rush.RequestOne();
+  CHECK(rush.m_verdicts[SlotVerdict::kPlaced] == 6);  // A quarter of what two servers handle.
   CHECK(rush.m_verdicts[SlotVerdict::kQueued] == 18);
   rush.m_per_tick = 0;
   rush.Run(kSecond);
@@ -213,7 +212,7 @@
   rush.m_broker.m_pools.at("apps").m_health[3] = suspect;
   rush.m_per_tick = 0;
   for (int i = 0; i < 30; ++i)
-    rush.AskOnce();
+    rush.RequestOne();
   CHECK(std::none_of(rush.m_sent.begin(), rush.m_sent.end(),
                      [](const Sent& sent) { return sent.m_server == "s3"; }));
   CHECK(rush.m_sent.size() == 9);
@@ -234,45 +233,46 @@
 TEST_CASE("broker and a third of 80 instances that decide alone keep to the bound together") {
   Rush rush(Servers(1, 10 * kSecond));
   rush.Run(8 * kSecond);
-  std::size_t sent_alone = 0;
+  std::size_t sent_without_broker = 0;
   for (unsigned seed = 1; seed <= 200; ++seed) {
-    std::vector<Sent> all = SentByLone(27, 80, seed);
-    sent_alone += all.size();
+    std::vector<Sent> all = SentWithoutBroker(27, 80, seed);
+    sent_without_broker += all.size();
     all.insert(all.end(), rush.m_sent.begin(), rush.m_sent.end());
     CHECK(MostInASecond(all) <= kMost);
   }
-  CHECK(sent_alone / 200 >= 12);  // Of about 15 in the 8 s: they aren't left without either.
+  // Of about 15 in the 8 s: instances without a broker get their share too.
+  CHECK(sent_without_broker / 200 >= 12);
 }
 
 TEST_CASE("80 instances that all decide alone keep to the bound") {
   for (unsigned seed = 1; seed <= 200; ++seed)
-    CHECK(MostInASecond(SentByLone(80, 80, seed)) <= kMost);
+    CHECK(MostInASecond(SentWithoutBroker(80, 80, seed)) <= kMost);
 }
 
-/// Of `alone` of 80 instances: for 15 s warm servers have room for all; then each has something for
-/// the cold one.
-std::vector<Sent> SentOnceWarmAreFull(int alone, unsigned seed) {
+/// Returns the requests sent by `count` of 80 instances, none with a broker. For 15 s warm servers
+/// take all requests; then each instance has one for the cold server.
+std::vector<Sent> SentOnceWarmAreFull(int count, unsigned seed) {
   constexpr int kInstances = 80;
   std::mt19937 random(seed);
-  std::vector<Lone> lone(static_cast<std::size_t>(alone));
-  for (Lone& one : lone) {
-    one.m_slow_start.m_cold_until = kStart + kLongAgo;
-    BeginSendsWithoutBroker(one.m_slow_start, kLimit, kInstances,
+  std::vector<InstanceWithoutBroker> senders(static_cast<std::size_t>(count));
+  for (InstanceWithoutBroker& sender : senders) {
+    sender.m_slow_start.m_cold_until = kStart + kLongAgo;
+    BeginSendsWithoutBroker(sender.m_slow_start, kLimit, kInstances,
                             std::uniform_real_distribution<>(0, 1)(random), kStart);
   }
   std::vector<Sent> sent;
   const Instant full = kStart + 15 * kSecond;
   for (Instant now = full; now < full + 2 * kSecond; now += kTick) {
-    for (Lone& one : lone)
-      one.Step(kInstances, random, now, sent);
+    for (InstanceWithoutBroker& sender : senders)
+      sender.Step(kInstances, random, now, sent);
   }
   return sent;
 }
 
 TEST_CASE("turns that nobody used are not kept for the moment in which all have work") {
   for (unsigned seed = 1; seed <= 20; ++seed) {
-    CHECK(MostInASecond(SentOnceWarmAreFull(80, seed)) <= 23);  // No broker gives anything.
-    CHECK(MostInASecond(SentOnceWarmAreFull(27, seed)) <= 11);  // Beside 12 of the broker.
+    CHECK(MostInASecond(SentOnceWarmAreFull(80, seed)) <= 23);  // No broker sends any.
+    CHECK(MostInASecond(SentOnceWarmAreFull(27, seed)) <= 11);  // The broker may send 12 besides.
   }
 }
 
@@ -285,7 +285,7 @@
   for (Sent& sent : scattered)
     sent.m_at += Duration(late(random));
   CHECK(MostInASecond(scattered) <= kMost);
-  // The worst: for half a second nothing gets through, then all at once.
+  // Worst case: no request arrives for half a second, then all arrive at once.
   int most = 0;
   for (int phase = 0; phase < 50; ++phase) {
     std::vector<Sent> bunched = rush.m_sent;
@@ -300,17 +300,17 @@
 }
 
 TEST_CASE("a server that turned cold since its last word gets the less for what it got before") {
-  // Not covered: what it gets before its word comes, at the latest 1.2 s and the log's way later.
+  // Doesn't cover requests sent before its report arrives, up to 1.2 s and the log's delay later.
   Rush rush(Servers(1));
   rush.m_held = Duration(50'000);
   rush.Run(2 * kSecond);
   REQUIRE(MostInASecond(rush.m_sent) > kMost);
-  const Instant told = rush.m_now;
+  const Instant reported_at = rush.m_now;
   rush.Take(Servers(1, 7 * kSecond));
   rush.Run(Duration(900'000));
-  CHECK(rush.m_sent.back().m_at < told);
+  CHECK(rush.m_sent.back().m_at < reported_at);
   rush.Run(3 * kSecond);
-  std::erase_if(rush.m_sent, [told](const Sent& sent) { return sent.m_at < told; });
+  std::erase_if(rush.m_sent, [reported_at](const Sent& sent) { return sent.m_at < reported_at; });
   CHECK(MostInASecond(rush.m_sent) <= 12);
   CHECK(rush.m_sent.size() >= 30);
 }
@@ -323,18 +323,18 @@
   CHECK(MostInASecond(rush.m_sent) > kMost);
   rush.Take(Servers(1, 8 * kSecond));
   rush.Take(Servers(1));
-  CHECK_FALSE(IsCold(rush.RampOf(0), rush.m_now));
+  CHECK_FALSE(IsCold(rush.SlowStartOf(0), rush.m_now));
 }
 
 TEST_CASE("a pool that says nothing of cold servers is served as before") {
   Rush plain(Servers(3), kStart - kLongAgo, false);
-  Rush told(Servers(3, 8 * kSecond), kStart - kLongAgo, false);
+  Rush reporting(Servers(3, 8 * kSecond), kStart - kLongAgo, false);
   plain.Run(2 * kSecond);
-  told.Run(2 * kSecond);
-  CHECK(MostInASecond(told.m_sent) > kMost);
-  REQUIRE(plain.m_sent.size() == told.m_sent.size());
+  reporting.Run(2 * kSecond);
+  CHECK(MostInASecond(reporting.m_sent) > kMost);
+  REQUIRE(plain.m_sent.size() == reporting.m_sent.size());
   for (std::size_t i = 0; i < plain.m_sent.size(); ++i)
-    CHECK(plain.m_sent[i].m_server == told.m_sent[i].m_server);
+    CHECK(plain.m_sent[i].m_server == reporting.m_sent[i].m_server);
 }
 
 TEST_CASE("a server that gave no connection is presumed cold from its next answer on") {
@@ -344,8 +344,8 @@
   SlotReport report;
   std::vector<SlotResponse> out;
   const auto held = [&rush](const std::string& server) {
-    for (const auto& [ref, place] : rush.m_broker.m_instance_slots["a"].m_held) {
-      if (place.m_server == server)
+    for (const auto& [ref, slot] : rush.m_broker.m_instance_slots["a"].m_held) {
+      if (slot.m_server == server)
         return ref;
     }
     return SlotRef{0};
@@ -353,7 +353,8 @@
   report.m_ref = held("s0");
   report.m_health_signal = HealthSignal::kFailure;
   ApplyReport(rush.m_broker, "a", report, rush.m_now, out);
-  CHECK_FALSE(IsCold(pool.m_slow_starts[0], rush.m_now));  // One broken answer is no start.
+  // A single failed response isn't taken for a restart.
+  CHECK_FALSE(IsCold(pool.m_slow_starts[0], rush.m_now));
   report.m_ref = held("s1");
   report.m_health_signal = HealthSignal::kUnreachable;
   ApplyReport(rush.m_broker, "a", report, rush.m_now, out);
@@ -371,24 +372,24 @@
   report.m_health_signal = HealthSignal::kFailure;
   report.m_failed = true;
   std::vector<SlotResponse> out;
-  for (const auto& [ref, place] : rush.m_broker.m_instance_slots["a"].m_held) {
+  for (const auto& [ref, slot] : rush.m_broker.m_instance_slots["a"].m_held) {
     report.m_ref = ref;
     ApplyReport(rush.m_broker, "a", report, rush.m_now, out);
   }
   REQUIRE(IsEjected(rush.m_broker.m_pools.at("apps").m_health[0], rush.m_now));
-  CHECK_FALSE(IsCold(rush.RampOf(0), rush.m_now));
+  CHECK_FALSE(IsCold(rush.SlowStartOf(0), rush.m_now));
 }
 
 TEST_CASE("a server that is new while requests come, or lives anew, is presumed cold") {
   Rush rush(Servers(2));
-  CHECK_FALSE(IsCold(rush.RampOf(0), kStart));
+  CHECK_FALSE(IsCold(rush.SlowStartOf(0), kStart));
   rush.Run(kSecond);
   std::vector<BackendServer> servers = Servers(3);
   servers[0].m_started_ms = 7;
   rush.Take(servers);
-  CHECK(IsCold(rush.RampOf(0), rush.m_now + 7 * kSecond));
-  CHECK_FALSE(IsCold(rush.RampOf(1), rush.m_now));
-  CHECK(IsCold(rush.RampOf(2), rush.m_now + 7 * kSecond));
+  CHECK(IsCold(rush.SlowStartOf(0), rush.m_now + 7 * kSecond));
+  CHECK_FALSE(IsCold(rush.SlowStartOf(1), rush.m_now));
+  CHECK(IsCold(rush.SlowStartOf(2), rush.m_now + 7 * kSecond));
 }
 
 TEST_CASE("servers of a data centre whose evacuation ends are presumed cold") {
@@ -397,10 +398,10 @@
   std::vector<BackendServer> servers = Servers(2);
   servers[1].m_evacuated = true;
   rush.Take(servers);
-  CHECK_FALSE(IsCold(rush.RampOf(1), rush.m_now));
+  CHECK_FALSE(IsCold(rush.SlowStartOf(1), rush.m_now));
   rush.Take(Servers(2));
-  CHECK(IsCold(rush.RampOf(1), rush.m_now + 7 * kSecond));
-  CHECK_FALSE(IsCold(rush.RampOf(0), rush.m_now));
+  CHECK(IsCold(rush.SlowStartOf(1), rush.m_now + 7 * kSecond));
+  CHECK_FALSE(IsCold(rush.SlowStartOf(0), rush.m_now));
 }
 
 TEST_CASE("where servers tell, a presumption lasts until their own word must have come") {
@@ -415,7 +416,7 @@
   slow_start.m_cold_until = kStart + kSecond;
   BeginSendsWithoutBroker(slow_start, strict, 8, 0, kStart);
   CHECK_FALSE(MaySendWithoutBroker(slow_start, strict, kStart));
-  CHECK(MaySendWithoutBroker(slow_start, strict, kStart + kSecond));  // Warm.
+  CHECK(MaySendWithoutBroker(slow_start, strict, kStart + kSecond));  // The server is warm.
 }
 
 wire::ServerRecord Record(int sequence, int cold_for_ms) {
@@ -438,7 +439,7 @@
   CHECK(state.m_servers.at("s0").cold_for_ms == 0);
   CHECK(state.m_servers_index == 6);
   CHECK(ChangesServer(state, Record(4, 7'500)));
-  CHECK_FALSE(ChangesServer(state, Record(2, 6'800)));  // Late.
+  CHECK_FALSE(ChangesServer(state, Record(2, 6'800)));  // The record is late.
 }
 
 TEST_CASE("a server that is cold for longer than it said is taken in if a member proposes it") {
--- a/tests/slow_start_without_broker_test.cc
+++ b/tests/slow_start_without_broker_test.cc
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What an instance that decides alone sends to cold servers.
+// What an instance without a broker sends to cold servers.
 #include "forwarder_fixture.h"
 
 namespace poppyway {
 namespace {
 
-/// The document of all tests, with servers that are cold for 8 s after a start.
+/// Returns the configuration document of the tests with servers that are cold for 8 s after a
+/// start.
 std::string ColdDocument() {
   std::string document = Document(1, "key");
   const std::string before = R"("max_conns":9)";
@@ -35,9 +36,9 @@
   ScriptedServer warm([](const std::string& request) { return MakeResponse(request, "ok"); });
   ScriptedServer cold([](const std::string& request) { return MakeResponse(request, "ok"); });
   ForwarderFixture fixture(ColdDocument());
-  fixture.m_forwarder->state().m_settings.m_slow_start_tolerance = {1,
-                                                                    10'000};  // It may at any time.
-  // Were both warm, the one in the instance's own data centre would get all.
+  // The instance may send to cold servers at any time.
+  fixture.m_forwarder->state().m_settings.m_slow_start_tolerance = {1, 10'000};
+  // If both were warm, the one in the instance's own data centre would get all requests.
   fixture.m_forwarder->state().m_settings.m_data_centre = "east";
   fixture.Register("s0", warm);
   RegisterCold(fixture, "s1", cold, "east");
@@ -48,12 +49,12 @@
 TEST_CASE("an instance that decides alone sends cold servers its even part") {
   ScriptedServer cold([](const std::string& request) { return MakeResponse(request, "ok"); });
   ForwarderFixture fixture(ColdDocument());
-  // Half of 10 a second, for one instance: every 200 ms.
+  // Half of 10 requests per second for the one instance: one every 200 ms.
   fixture.m_forwarder->state().m_settings.m_slow_start_tolerance = {1, 10};
   RegisterCold(fixture, "s0", cold);
-  const Instant begun = ReadClock();
+  const Instant start = ReadClock();
   const int served = Served(fixture, 8);
-  const double spent_s = static_cast<double>((ReadClock() - begun).count()) / 1e6;
+  const double spent_s = static_cast<double>((ReadClock() - start).count()) / 1e6;
   CHECK(served >= 1);
   CHECK(served <= 1 + spent_s * 5);
   CHECK(cold.requests().size() == static_cast<std::size_t>(served));
--- a/tests/token_quota_test.cc
+++ b/tests/token_quota_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// A workspace's limit over all instances, with a broker, without one, and over its changes.
+// A workspace's limit over all instances: with a broker, without one, and when it changes.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <deque>
@@ -18,36 +18,36 @@
 constexpr double kBiggestCost = 55'000;
 constexpr Duration kMayServe{4'500'000};
 
-/// What a run of several instances against one limit came to.
+/// Result of a run of several instances against one limit.
 struct LimitRun {
-  double m_worst_window = 0;  ///< Most spent in any window, against what is tolerated.
+  double m_worst_window = 0;  ///< Highest use of the tolerance in any window; 1 is the bound.
   double m_spent = 0;
-  double m_asked = 0;
-  double m_central = 0;  ///< What one bucket that sees everything at once would have let through.
+  double m_requested = 0;
+  double m_central = 0;  ///< Cost that a single bucket with exact state would allow.
 };
 
 struct LimitSpec {
   int m_instances = 6;
   double m_rate = 130'000;
-  double m_demand = 1;        ///< In rates, before and after the peak.
-  double m_peak = 1;          ///< In rates, from second 5 to 12.
-  int m_silent_from_ms = -1;  ///< The broker answers nobody for `m_silent_ms`.
+  double m_demand = 1;        ///< Load as a multiple of the rate, before and after the peak.
+  double m_peak = 1;          ///< Load as a multiple of the rate, from second 5 to 12.
+  int m_silent_from_ms = -1;  ///< From then on the broker doesn't respond for `m_silent_ms`.
   int m_silent_ms = 0;
-  bool m_new_broker = false;  ///< After it another broker is there.
-  int m_rejoin_ms = 0;        ///< Each further instance finds that one so much later.
-  int m_cut_off = 0;          ///< Instances that alone are out of touch in that time.
-  int m_gap_each_ms = 0;      ///< The broker answers only in the last quarter of such a span.
-  int m_restart_each_ms = 0;  ///< From second 5 on an instance, each in its turn, starts anew.
-  int m_restart_all_ms = -1;  ///< All start anew at this time.
+  bool m_new_broker = false;  ///< A new broker begins after that.
+  int m_rejoin_ms = 0;        ///< Delay between one instance and the next when they connect to it.
+  int m_cut_off = 0;          ///< Number of instances that lose the broker then; zero: all do.
+  int m_gap_each_ms = 0;  ///< The broker responds only in the last quarter of each such interval.
+  int m_restart_each_ms = 0;  ///< Interval of restarts, one instance at a time, from second 5.
+  int m_restart_all_ms = -1;  ///< Time at which all instances restart.
   std::uint64_t m_seed = 1;
 };
 
-/// One instance's side of the limit.
+/// An instance's state of the limit.
 struct Spender {
   bool m_linked = false;
-  std::int64_t m_told_epoch = 0;
+  std::int64_t m_reported_epoch = 0;
   double m_left = 0;
-  Instant m_told{};
+  Instant m_reported_at{};
   LocalQuotaBucket m_local_quota;
   CostSums m_costs;
   SlotRef m_next_ref = 1;
@@ -57,7 +57,7 @@
   return "i" + std::to_string(i);
 }
 
-/// Instances ask a broker with one boundless server; out of touch with it they spend alone.
+/// Instances that use a broker with one unlimited server; without it they charge their own shares.
 class LimitSimulation {
  public:
   explicit LimitSimulation(const LimitSpec& spec)
@@ -73,7 +73,7 @@
     constexpr int kSteps = 20'000;
     double central = m_operators.m_burst;
     std::uniform_real_distribution<double> uniform(0, 1);
-    std::lognormal_distribution<double> size(7.6, 1.2);  // Mean 4,100 tokens.
+    std::lognormal_distribution<double> size(7.6, 1.2);  // The mean is 4,100 tokens.
     for (m_step = 1; m_step <= kSteps; ++m_step) {
       m_now = kFirst + Duration(1'000'000) + m_step * kStep;
       Fail();
@@ -82,16 +82,16 @@
       double arrivals = (peak ? m_spec.m_peak : m_spec.m_demand) * m_spec.m_rate / kMeanCost / 1000;
       for (; uniform(m_random) < arrivals; arrivals -= 1) {
         const double cost = std::min(kBiggestCost, size(m_random));
-        m_run.m_asked += cost;
+        m_run.m_requested += cost;
         if (central > 0) {
           central -= cost;
           m_run.m_central += cost;
         }
-        // The busiest instance takes a third of the callers.
+        // The busiest instance gets a third of the requests.
         const auto any = static_cast<int>(uniform(m_random) * m_spec.m_instances);
         Request(uniform(m_random) < 0.33 ? 0 : any, cost);
       }
-      Watch();
+      UpdateWindow();
     }
     return m_run;
   }
@@ -106,9 +106,9 @@
 
   [[nodiscard]] bool InTouch(int i) const {
     const int over_ms = m_spec.m_silent_from_ms + m_spec.m_silent_ms;
-    const bool trouble = m_step >= m_spec.m_silent_from_ms && m_step < over_ms;
+    const bool outage = m_step >= m_spec.m_silent_from_ms && m_step < over_ms;
     const bool cut = m_spec.m_cut_off == 0 || i < m_spec.m_cut_off;
-    if (trouble && cut)
+    if (outage && cut)
       return false;
     const bool rejoins = m_spec.m_new_broker && m_step >= over_ms;
     if (rejoins && m_step < over_ms + i * m_spec.m_rejoin_ms)
@@ -132,8 +132,8 @@
       if (in_touch && !spender.m_linked)
         Link(i, spender);
       spender.m_linked = in_touch;
-      const bool beats = (m_step + i * 37) % 500 == 0;
-      if (in_touch && beats)
+      const bool heartbeat_due = (m_step + i * 37) % 500 == 0;
+      if (in_touch && heartbeat_due)
         m_broker.m_instance_slots[NameOf(i)].m_last_heard = m_now;
     }
     std::vector<SlotResponse> out;
@@ -145,8 +145,8 @@
     SlotBatch batch;
     batch.m_resync = true;
     batch.m_instances = m_spec.m_instances;
-    batch.m_limits.push_back({"north", m_limit, spender.m_left, m_now - spender.m_told,
-                              spender.m_told_epoch, spender.m_local_quota.m_spent});
+    batch.m_limits.push_back({"north", m_limit, spender.m_left, m_now - spender.m_reported_at,
+                              spender.m_reported_epoch, spender.m_local_quota.m_spent});
     spender.m_local_quota = {};
     std::vector<SlotResponse> out;
     ApplyBatch(m_broker, NameOf(i), std::move(batch), m_now, out);
@@ -155,7 +155,7 @@
   void Request(int i, double cost) {
     Spender& spender = m_spenders[static_cast<std::size_t>(i)];
     spender.m_costs = Add(spender.m_costs, cost);
-    if (!(spender.m_linked ? Granted(i, spender, cost) : Alone(spender, cost)))
+    if (!(spender.m_linked ? Granted(i, spender, cost) : ChargeLocally(spender, cost)))
       return;
     m_run.m_spent += cost;
     m_in_window += cost;
@@ -174,8 +174,8 @@
     RequestSlot(m_broker, NameOf(i), std::move(slot_request), m_now, out);
     const bool placed = out.front().m_verdict == SlotVerdict::kPlaced;
     spender.m_left = out.front().m_limit_left;
-    spender.m_told = m_now;
-    spender.m_told_epoch = m_broker.m_epoch;
+    spender.m_reported_at = m_now;
+    spender.m_reported_epoch = m_broker.m_epoch;
     SlotReport end;
     end.m_ref = out.front().m_ref;
     end.m_ended = true;
@@ -184,15 +184,15 @@
     return placed;
   }
 
-  bool Alone(Spender& spender, double cost) {
+  bool ChargeLocally(Spender& spender, double cost) {
     std::uniform_real_distribution<double> uniform(0, 1);
-    const double left = spender.m_told_epoch > 0 ? spender.m_left : m_limit.m_burst;
+    const double left = spender.m_reported_epoch > 0 ? spender.m_left : m_limit.m_burst;
     return ChargeWithoutBroker(
         spender.m_local_quota, m_limit, {cost, 0},
         {m_spec.m_instances, left, uniform(m_random), OverdrawingCost(spender.m_costs)}, m_now);
   }
 
-  void Watch() {
+  void UpdateWindow() {
     while (!m_window.empty() && m_window.front().first < m_step / 1000.0 - kWindowSeconds) {
       m_in_window -= m_window.front().second;
       m_window.pop_front();
@@ -218,7 +218,7 @@
   return LimitSimulation(spec).Run();
 }
 
-/// The worst window of several seeds, with few instances and with many.
+/// Returns the worst window of eight seeds, with few instances and with many.
 double WorstOf(LimitSpec spec) {
   double worst = 0;
   for (const int instances : {6, 60, 295}) {
@@ -314,7 +314,7 @@
 TEST_CASE("of a limit that runs out, less urgent requests leave the rest to more urgent ones") {
   const QuotaLimit limit{1'000, 1'000};
   const Instant now{Duration(10'000'000)};
-  QuotaBucket bucket = BeginLimit(limit, now);  // A fifth of the burst.
+  QuotaBucket bucket = BeginLimit(limit, now);  // The bucket starts with a fifth of the burst.
   CHECK_FALSE(Spend(bucket, limit, {10, 0.2}, now));
   CHECK(Spend(bucket, limit, {110, 0.1}, now));
   CHECK_FALSE(Spend(bucket, limit, {10, 0.1}, now));
@@ -339,7 +339,7 @@
 }
 
 TEST_CASE("without a broker all instances together spend what one bucket would give") {
-  // Each sends one large request; alone it would always fit.
+  // Each instance sends one large request, which would fit into the whole limit.
   constexpr int kInstances = 295;
   const QuotaLimit limit{200'000, 200'000};
   std::mt19937_64 random(1);
