--- a/packages/policy/include/poppyway/policy.h
+++ b/packages/policy/include/poppyway/policy.h
@@ -3,33 +3,34 @@
 #pragma once
 
 /// \file
-/// \brief The decisions: admission, credits, routing, limits and retries, as pure functions.
+/// \brief Policy decisions as pure functions: admission, credits, routing, limits and retries.
 ///
 /// \detail Nothing here reads a clock, draws unseeded random numbers, opens a socket or starts a
-/// thread. Time and randomness are arguments, effects are return values; the same arguments give
-/// the same decisions in a daemon, a test and a benchmark. No object is thread-safe; each belongs
-/// to one task. See docs/design/ for why each rule is what it is.
+/// thread. Time and randomness are arguments, effects are return values; equal arguments give equal
+/// decisions in a daemon, a test and a benchmark. No object is thread-safe; each belongs to one
+/// task. docs/design/ gives the reason for each rule.
 ///
-/// - `Broker`: the one accountant of a pool's engines. Counts credits out, highest tier first.
-/// - `ShedFloor`: which tiers are closed, moved one step at a time and acknowledged by all
+/// - `Broker`: accounts for a pool's engines and grants credits, to the highest tier first.
+/// - `ShedFloor`: which tiers are admitted; it moves one step at a time, acknowledged by all
 /// gateways.
 /// - `AdmissionQueue`: the requests that wait in one gateway.
 /// - `CreditBook`: the credits that one gateway holds, and its fair share without a broker.
-/// - `PoolClient`: one gateway's decisions for one pool, over the two above.
-/// - `CheckEligibility`: whether a server may take a request at all, for all who send one.
-/// - `ServerNotices`: what a server says of itself: it wants nothing for a while, it leaves.
-/// - `OutageDetector`: which data centres are lost or cut off as a whole.
-/// - `SlowStartState`: what a server may get while it is slow after its start.
-/// - `ChooseServer`, `ServerHealth`: where a request goes among servers that know no tiers.
-/// - `SlotBroker`: the one broker of a hosted deployment; gives each request its place.
-/// - `RoundTripTable`: round trips between regions, learned from connections.
-/// - `ServedShares`: who is owed a place since its group was served too seldom.
-/// - `RolloutTrial`: what a version under trial may get, and what its answers say of it.
-/// - `ForecastWait`: when a place comes free.
-/// - `EvenShare`: an instance's part of a server's places while no broker answers.
-/// - `ChoosePollSource`: from which member an instance reads news.
-/// - `QuotaBucket`, `LocalQuotaBucket`: a workspace's limit at the broker, and without one.
-/// - `RateEstimate`, `RetryBudget`, `RetryAfter`: speed of engines, retries, when to come back.
+/// - `PoolClient`: one gateway's decisions for one pool, made from its queue and credit book.
+/// - `CheckEligibility`: decides whether a server may take a request, for every sender.
+/// - `ServerNotices`: the notices of servers that back off or leave.
+/// - `OutageDetector`: detects data centres that are lost or unreachable as a whole.
+/// - `SlowStartState`: limits the requests to a server that is slow after its start.
+/// - `ChooseServer`, `ServerHealth`: choose a backend server by predicted time and health.
+/// - `SlotBroker`: the broker of a hosted deployment; assigns a slot to each request.
+/// - `RoundTripTable`: round-trip times between regions, learned from connections.
+/// - `ServedShares`: detect groups of requests that are starved of slots.
+/// - `RolloutTrial`: bounds the exposure of a version under trial and judges its responses.
+/// - `ForecastWait`: predicts when a slot becomes free.
+/// - `EvenShare`: an instance's share of a server's slots without a broker.
+/// - `ChoosePollSource`: selects the member that an instance polls for changes.
+/// - `QuotaBucket`, `LocalQuotaBucket`: a workspace's limit, with and without a broker.
+/// - `RateEstimate`, `RetryBudget`, `RetryAfter`: engine speed, the limit on retries, the
+/// delay asked of rejected callers.
 
 #include "poppyway/policy/impl/admission_queue.h"
 #include "poppyway/policy/impl/broker.h"
--- a/packages/policy/include/poppyway/policy/impl/admission_queue.h
+++ b/packages/policy/include/poppyway/policy/impl/admission_queue.h
@@ -14,10 +14,10 @@
 
 namespace poppyway {
 
-/// \brief Names a request within one gateway; never zero.
+/// \brief Identifies a request within one gateway; never zero.
 using RequestRef = std::int64_t;
 
-/// \brief What a decision needs to know of a waiting request.
+/// \brief The properties of a waiting request that decisions depend on.
 struct WaitingRequest {
   RequestRef m_ref = 0;
   Tier m_tier = 0;
@@ -26,34 +26,38 @@
   std::string m_model;
   std::int64_t m_prompt_tokens = 0;
   std::vector<std::uint64_t> m_prefixes;  ///< Hashes of growing prompt prefixes.
-  std::vector<std::string> m_tried;       ///< Engines that already refused the connection.
+  std::vector<std::string> m_tried;       ///< Engines to which the connection already failed.
   Instant m_arrived{};
   Instant m_deadline{};
 
   friend bool operator==(const WaitingRequest&, const WaitingRequest&) = default;
 };
 
-/// \brief The requests that wait in one gateway: by tier, and in turn between workspaces.
+/// \brief The requests that wait in one gateway, by tier and round-robin between workspaces.
 class AdmissionQueue {
  public:
-  /// Precondition: the reference is new.
+  /// Appends a request. Precondition: its reference isn't in the queue.
   void Push(WaitingRequest request);
-  /// \return the request, or nullopt if it does not wait here (any more).
+  /// Removes a request.
+  /// \return the request, or nullopt if it isn't in the queue.
   std::optional<WaitingRequest> Remove(RequestRef ref);
+  /// \return the request, or nullptr if it isn't in the queue. The pointer is valid until the
+  /// request is removed.
   [[nodiscard]] const WaitingRequest* Find(RequestRef ref) const;
-  /// The first `count` requests in the order of service: tiers from the highest, workspaces in
-  /// turn.
+  /// Returns up to `count` requests in the order of service: tiers from the highest, workspaces
+  /// round-robin.
   [[nodiscard]] std::vector<const WaitingRequest*> Heads(std::size_t count) const;
-  /// The newest request of the lowest waiting tier below `tier`, or nullopt.
+  /// Returns the newest request of the lowest non-empty tier below `tier`, or nullopt.
   [[nodiscard]] std::optional<RequestRef> LowestBelow(Tier tier) const;
-  /// References whose deadline, less the time that serving still takes, has passed.
+  /// Returns the requests that can't be served before their deadline if serving one takes
+  /// `service`, sorted by reference.
   [[nodiscard]] std::vector<RequestRef> Infeasible(Instant now, Duration service) const;
   [[nodiscard]] const TierCounts& counts() const noexcept { return m_counts; }
   [[nodiscard]] std::size_t size() const noexcept { return m_requests.size(); }
 
  private:
-  using Line = std::deque<RequestRef>;
-  std::array<std::map<std::string, Line>, kTiers> m_lines;
+  using Fifo = std::deque<RequestRef>;
+  std::array<std::map<std::string, Fifo>, kTiers> m_fifos;
   std::unordered_map<RequestRef, WaitingRequest> m_requests;
   TierCounts m_counts{};
 };
--- a/packages/policy/include/poppyway/policy/impl/event_size.h
+++ b/packages/policy/include/poppyway/policy/impl/event_size.h
@@ -6,12 +6,17 @@
 
 namespace poppyway {
 
-/// \brief Learns how many tokens one event of a stream carries from one that ran to its end.
-/// Callers' estimates of an answer's tokens are right in the median but off by factors, so
-/// logarithms are averaged. Pure; any thread. \param known tokens an event, as learned before;
-/// zero: nothing was. \param expected_tokens of the whole answer; zero or less says nothing. \param
-/// events of the whole answer; zero or less says nothing. \param gain share of the new sample, 0
-/// to 1.
+/// \brief Updates the estimate of tokens per event of a stream from one completed stream.
+///
+/// Callers' estimates of a response's tokens are right in the median but off by factors, so the
+/// average is taken over logarithms. The function is pure and may be called from any thread.
+/// \param known the estimate so far, in tokens per event; zero if there is none.
+/// \param expected_tokens the caller's estimate of tokens in the whole response; a value of zero or
+/// less leaves `known` as it is.
+/// \param events the number of events in the whole response; a value of zero or less leaves `known`
+/// as it is.
+/// \param gain the weight of the new sample, 0 to 1.
+/// \return the updated estimate, in tokens per event.
 [[nodiscard]] double UpdateTokensPerEvent(double known,
                                           std::int64_t expected_tokens,
                                           std::int64_t events,
--- a/packages/policy/include/poppyway/policy/impl/pool_client.h
+++ b/packages/policy/include/poppyway/policy/impl/pool_client.h
@@ -16,41 +16,41 @@
 
 namespace poppyway {
 
-/// \brief How long requests of one event take from dispatch to end.
+/// \brief The time that requests of one event take from dispatch to end.
 struct ServiceEstimate {
   double m_mean_s = 0;
   double m_deviation_s = 0;  ///< Mean absolute deviation.
 };
 
-/// \brief One gateway's side of one pool: its queue, its credits, what the broker last said.
+/// \brief One gateway's state for one pool: its queue, its credits and the broker's last message.
 struct PoolClient {
   AdmissionQueue m_queue;
   CreditBook m_book;
-  std::vector<CreditUse> m_uses;  ///< Not yet told to the broker.
+  std::vector<CreditUse> m_uses;  ///< Uses not yet reported to the broker.
   Tier m_floor = kTiers;
   std::int64_t m_floor_epoch = 0;
   bool m_contended = false;
   double m_drain_per_s = 0;
   TierCounts m_backlog{};
-  bool m_resync = true;   ///< The next demand tells all that is held.
-  bool m_dirty = false;   ///< There is something to tell.
-  bool m_urgent = false;  ///< A request waits that the pool may have room for: tell at once.
+  bool m_resync = true;   ///< The next demand lists all credits held.
+  bool m_dirty = false;   ///< There are unreported changes.
+  bool m_urgent = false;  ///< A request waits that the pool may serve now; a demand is due at once.
   Instant m_last_demand{};
-  Instant m_unanswered_since{};      ///< Of the oldest demand without an answer; zero if none.
-  Instant m_fair_share_from{};       ///< Without a broker's word, fair share holds from here.
-  std::vector<Credit> m_unreported;  ///< Dispatches by fair share that no broker knows of yet.
+  Instant m_unanswered_since{};  ///< Time of the oldest demand without a response; zero if none.
+  Instant m_fair_share_from{};   ///< Fair share applies from here unless the broker responds.
+  std::vector<Credit> m_unreported;  ///< Dispatches by fair share not yet reported to a broker.
   std::map<std::string, ServiceEstimate> m_service;  ///< By event.
   RetryBudget m_retries;
 };
 
-/// \brief What `AdmitRequest` decided.
+/// \brief The decision of `AdmitRequest`.
 struct Admission {
-  ResultCode m_code = ResultCode::kOk;  ///< Anything else refuses the newcomer.
+  ResultCode m_code = ResultCode::kOk;  ///< Any other code rejects the new request.
   std::string m_reason;
-  std::optional<RequestRef> m_evict;  ///< A lower tier's request that has to make room.
+  std::optional<RequestRef> m_evict;  ///< A lower tier's request to evict for the new one.
 };
 
-/// \brief Requests to dispatch and requests to refuse, in this order.
+/// \brief Requests to dispatch and requests to reject, in this order.
 struct PoolActions {
   struct Dispatch {
     RequestRef m_ref = 0;
@@ -61,60 +61,68 @@
     ResultCode m_code = ResultCode::kOk;
     std::string m_reason;
   };
-  std::vector<Dispatch> m_dispatches;  ///< Already taken out of the queue.
+  std::vector<Dispatch> m_dispatches;  ///< Already removed from the queue.
   std::vector<Refusal> m_refusals;     ///< Still in the queue; the caller removes them.
 };
 
-/// \brief Engines, with budgets, that may serve a waiting request now.
+/// \brief Returns the engines, with their budgets, that may serve a waiting request now.
 using BudgetsFn = std::function<std::vector<EngineBudget>(const WaitingRequest&)>;
 
-/// \brief Whether a newcomer may wait at all: floor, deadline, room.
+/// \brief Decides whether a new request may enter the queue, by the floor, its deadline and the
+/// queue's length. The request isn't queued.
 [[nodiscard]] Admission AdmitRequest(PoolClient& pool,
                                      const WaitingRequest& request,
                                      std::size_t max_queue,
                                      Instant now);
 
-/// \brief Takes a standing credit on one of `engines` where nothing else waits; otherwise queues
-/// the request. \return the credit to dispatch with, or nullopt if it waits.
+/// \brief Takes a pregranted credit on one of `engines` if the queue is empty and the pool isn't
+/// contended; otherwise queues the request.
+/// \return the credit to dispatch with, or nullopt if the request was queued.
 [[nodiscard]] std::optional<Credit> DispatchOrEnqueue(PoolClient& pool,
                                                       WaitingRequest request,
                                                       const std::vector<std::string>& engines,
                                                       Instant now);
 
-/// \brief Takes the broker's word; its credits may be spent until `lease_end`.
+/// \brief Applies a message of the broker, whose credits may be spent until `lease_end`.
 [[nodiscard]] PoolActions HandleGrants(PoolClient& pool,
                                        const GrantBatch& batch,
                                        Instant lease_end,
                                        Instant now);
 
-/// \brief Refuses what can't be reached any more; without a broker, dispatches by fair share.
-/// \param rank differs between gateways; see `TakeFairShare`.
+/// \brief Rejects requests that can't meet their deadline; without a broker, dispatches by fair
+/// share.
+/// \param rank a number that differs between gateways; see `TakeFairShare`.
 [[nodiscard]] PoolActions TickPoolClient(PoolClient& pool,
                                          std::uint32_t rank,
                                          const BudgetsFn& budgets,
                                          Instant now);
 
-/// \brief The message that is due to the broker, if any: on changes, batched, and as keep-alive.
+/// \brief Returns the message that is due to the broker, if any. Changes are sent in batches;
+/// without changes a message is sent as a keep-alive.
 [[nodiscard]] std::optional<GatewayDemand> DueDemand(PoolClient& pool,
                                                      const std::string& gateway,
                                                      Duration lease,
                                                      Instant now);
 
-/// \brief Records a use of a credit, to be told to the broker.
+/// \brief Records a use of a credit, to be reported to the broker.
 void RecordUse(PoolClient& pool, const Credit& credit, UseStage stage, Duration elapsed);
 
-/// \brief A dispatch ended. Its credit goes back, or, while the broker is silent and the lease
-/// still runs, serves the next request: the broker counts it as out either way.
+/// \brief Records the end of a dispatch.
+///
+/// Its credit is returned to the broker. While the broker doesn't respond and the lease holds, the
+/// credit of a finished request serves the next one instead: the broker counts it as issued either
+/// way.
 void EndDispatch(PoolClient& pool,
                  const Credit& credit,
                  UseStage stage,
                  Duration elapsed,
                  Instant now);
 
-/// \brief Learns from a request that was served in `service`.
+/// \brief Updates the service-time estimate of an event from a request that took `service`.
 void LearnService(PoolClient& pool, const std::string& event, Duration service);
 
-/// \brief Requests that wait at `tier` or above over all gateways, as last heard.
+/// \brief Returns the number of requests that wait at `tier` or above over all gateways, as last
+/// reported by the broker.
 [[nodiscard]] std::int64_t BacklogAhead(const PoolClient& pool, Tier tier);
 
 }  // namespace poppyway
--- a/packages/policy/include/poppyway/policy/impl/retry_after.h
+++ b/packages/policy/include/poppyway/policy/impl/retry_after.h
@@ -8,12 +8,14 @@
 
 namespace poppyway {
 
-/// \brief When a refused caller should come back: the backlog's expected drain time, spread by
-/// jitter so that refused callers don't return together.
-/// \param backlog requests waiting in the pool at the caller's tier and above.
-/// \param drain_per_s requests that the pool finishes a second.
-/// \param random uniform 64-bit number.
-/// \return whole seconds from 1 to 120.
+/// \brief Returns the delay after which a rejected caller should retry: the backlog's expected
+/// drain time, with jitter so that rejected callers don't retry together.
+/// \param backlog the number
+/// of requests waiting in the pool at the caller's tier and above.
+/// \param drain_per_s the number of
+/// requests that the pool finishes per second.
+/// \param random a uniformly distributed 64-bit number.
+/// \return the delay in whole seconds, from 1 to 120.
 [[nodiscard]] int RetryAfter(std::int64_t backlog,
                              double drain_per_s,
                              std::uint64_t random) noexcept;
--- a/packages/policy/include/poppyway/policy/impl/retry_budget.h
+++ b/packages/policy/include/poppyway/policy/impl/retry_budget.h
@@ -6,34 +6,35 @@
 
 namespace poppyway {
 
-/// \brief Limits retries to a ratio of new requests, so that retries can't multiply an outage.
+/// \brief Limits retries to a ratio of new requests, so that retries can't amplify an outage.
 struct RetryBudget {
-  double m_tokens = 10;  ///< Retries that may be made now.
+  double m_tokens = 10;  ///< Retries that are allowed now.
 
   friend bool operator==(const RetryBudget&, const RetryBudget&) = default;
 };
 
-/// \brief The budget after one new request arrived.
+/// \brief Returns the budget after one new request arrived.
 [[nodiscard]] RetryBudget Deposit(const RetryBudget& budget) noexcept;
 
-/// \brief Takes one retry. \return false, leaving the budget as it is, if none is left.
+/// \brief Withdraws one retry.
+/// \return true if one was left; otherwise the budget is unchanged.
 [[nodiscard]] bool Withdraw(RetryBudget& budget) noexcept;
 
-/// \brief Retries allowed for each new request.
+/// \brief The number of retries allowed for each new request.
 inline constexpr double kRetryRatio = 0.1;
-/// \brief Most retries that may be saved up.
+/// \brief The maximum number of saved retries.
 inline constexpr double kRetryBurst = 50;
 
-/// \brief A limit on second dispatches that all instances share; each spends a part of it.
+/// \brief A limit on retries that all instances share; each instance has an equal part of it.
 struct RetryLimit {
-  double m_ratio = kRetryRatio;  ///< Second dispatches for each first one.
-  double m_burst = kRetryBurst;  ///< That may be saved up, over all instances.
+  double m_ratio = kRetryRatio;  ///< Retries allowed for each new request.
+  double m_burst = kRetryBurst;  ///< Maximum of saved retries, over all instances.
   int m_instances = 1;
 
   friend bool operator==(const RetryLimit&, const RetryLimit&) = default;
 };
 
-/// \brief Accounts for one new request under a shared limit.
+/// \brief Returns the budget after one new request arrived, under a shared limit.
 [[nodiscard]] RetryBudget Deposit(const RetryBudget& budget, const RetryLimit& limit) noexcept;
 
 }  // namespace poppyway
--- a/packages/policy/include/poppyway/policy/impl/tier.h
+++ b/packages/policy/include/poppyway/policy/impl/tier.h
@@ -11,13 +11,13 @@
 /// \brief A request's tier; 0 is the highest, larger numbers are lower.
 using Tier = int;
 
-/// \brief How many tiers there are.
+/// \brief The number of tiers.
 inline constexpr int kTiers = 3;
 
-/// \brief A count for each tier.
+/// \brief One count for each tier.
 using TierCounts = std::array<int, kTiers>;
 
-/// \brief Labels of a metric that is counted by tier and reason.
+/// \brief Returns the labels of a metric that is counted by tier and reason.
 [[nodiscard]] inline std::string TierAndReason(Tier tier, std::string_view reason) {
   return "reason=\"" + std::string(reason) + "\",tier=\"" + std::to_string(tier) + "\"";
 }
--- a/packages/policy/include/poppyway/policy/impl/wait_estimate.h
+++ b/packages/policy/include/poppyway/policy/impl/wait_estimate.h
@@ -7,16 +7,17 @@
 
 namespace poppyway {
 
-/// \brief What a gateway knows of a pool's queue when it estimates a wait.
+/// \brief The inputs of a gateway's estimate of the wait in a pool's queue.
 struct WaitInputs {
-  TierCounts m_backlog{};    ///< Over all gateways, as the broker last said.
-  TierCounts m_here{};       ///< Waiting in this gateway.
-  double m_drain_per_s = 0;  ///< Zero: unknown.
+  TierCounts m_backlog{};    ///< Requests waiting at all gateways, as last reported by the broker.
+  TierCounts m_local{};      ///< Requests waiting at this gateway.
+  double m_drain_per_s = 0;  ///< Requests finished per second; zero if unknown.
   Tier m_tier = 0;
-  int m_ahead_here = 0;  ///< Requests of the same tier ahead in this gateway.
+  int m_local_ahead = 0;  ///< Requests of the same tier ahead at this gateway.
 };
 
-/// \brief Expected time until a request is dispatched; zero while the drain rate is unknown.
+/// \brief Returns the expected time until a request is dispatched, or zero while the drain rate is
+/// unknown.
 [[nodiscard]] Duration ExpectedWait(const WaitInputs& inputs) noexcept;
 
 }  // namespace poppyway
--- a/packages/policy/src/admission_queue.cc
+++ b/packages/policy/src/admission_queue.cc
@@ -7,7 +7,7 @@
 namespace poppyway {
 
 void AdmissionQueue::Push(WaitingRequest request) {
-  m_lines[request.m_tier][request.m_workspace].push_back(request.m_ref);
+  m_fifos[request.m_tier][request.m_workspace].push_back(request.m_ref);
   ++m_counts[request.m_tier];
   const RequestRef ref = request.m_ref;
   m_requests.emplace(ref, std::move(request));
@@ -19,11 +19,11 @@
     return std::nullopt;
   WaitingRequest request = std::move(found->second);
   m_requests.erase(found);
-  auto& lines = m_lines[request.m_tier];
-  const auto line = lines.find(request.m_workspace);
-  line->second.erase(std::find(line->second.begin(), line->second.end(), ref));
-  if (line->second.empty())
-    lines.erase(line);
+  auto& fifos = m_fifos[request.m_tier];
+  const auto fifo = fifos.find(request.m_workspace);
+  fifo->second.erase(std::find(fifo->second.begin(), fifo->second.end(), ref));
+  if (fifo->second.empty())
+    fifos.erase(fifo);
   --m_counts[request.m_tier];
   return request;
 }
@@ -35,12 +35,12 @@
 
 std::vector<const WaitingRequest*> AdmissionQueue::Heads(std::size_t count) const {
   std::vector<const WaitingRequest*> heads;
-  for (const auto& lines : m_lines) {
+  for (const auto& fifos : m_fifos) {
     for (std::size_t depth = 0; heads.size() < count; ++depth) {
       const std::size_t before = heads.size();
-      for (const auto& [workspace, line] : lines) {
-        if (depth < line.size() && heads.size() < count)
-          heads.push_back(&m_requests.at(line[depth]));
+      for (const auto& [workspace, fifo] : fifos) {
+        if (depth < fifo.size() && heads.size() < count)
+          heads.push_back(&m_requests.at(fifo[depth]));
       }
       if (heads.size() == before)
         break;
@@ -52,8 +52,8 @@
 std::optional<RequestRef> AdmissionQueue::LowestBelow(Tier tier) const {
   for (Tier t = kTiers - 1; t > tier; --t) {
     std::optional<RequestRef> newest;
-    for (const auto& [workspace, line] : m_lines[t])
-      newest = std::max(newest.value_or(0), line.back());
+    for (const auto& [workspace, fifo] : m_fifos[t])
+      newest = std::max(newest.value_or(0), fifo.back());
     if (newest)
       return newest;
   }
--- a/packages/policy/src/broker.cc
+++ b/packages/policy/src/broker.cc
@@ -12,9 +12,9 @@
 constexpr int kMaxEjectionDoublings = 5;
 constexpr int kEpochShift = 32;
 constexpr double kHoldWeight = 0.1;
-constexpr std::int64_t kFinishesToKnow = 8;
+constexpr std::int64_t kFinishesToKnow = 8;  // Fewer finished requests give no drain rate.
 
-bool Recovering(const Broker& broker, Instant now) {
+bool IsRecovering(const Broker& broker, Instant now) {
   const bool all_here = broker.m_live_gateways > 0 &&
                         static_cast<int>(broker.m_gateways.size()) >= broker.m_live_gateways;
   return now < broker.m_recovering_until && !all_here;
@@ -28,7 +28,7 @@
   });
 }
 
-void NoteFailure(Broker& broker, BrokerEngine& engine, Instant now) {
+void RecordFailure(Broker& broker, BrokerEngine& engine, Instant now) {
   ++engine.m_failures;
   if (engine.m_failures < kFailuresToEject)
     return;
@@ -38,30 +38,30 @@
   const double limit =
       broker.m_settings.m_ejected_share * static_cast<double>(broker.m_engines.size());
   if (static_cast<double>(ejected) + 1 > limit)
-    return;  // A pool must not eject itself.
+    return;  // A pool must keep most of its engines.
   const int doublings = std::min(engine.m_failures - kFailuresToEject, kMaxEjectionDoublings);
   engine.m_ejected_until = now + kFirstEjection * (1 << doublings);
 }
 
-void NoteFirstToken(Broker& broker, IssuedCredit& credit, Duration elapsed) {
+void RecordFirstToken(Broker& broker, IssuedCredit& credit, Duration elapsed) {
   if (credit.m_first_token)
     return;
   BrokerEngine& engine = broker.m_engines[credit.m_engine];
   credit.m_first_token = true;
   engine.m_used_prefill -= credit.m_new_tokens;
   engine.m_failures = 0;
-  const std::int64_t worked = credit.m_ahead_tokens + credit.m_new_tokens;
-  engine.m_rate = Observe(engine.m_rate, worked, std::max(elapsed, Duration(1)));
+  const std::int64_t prefilled = credit.m_ahead_tokens + credit.m_new_tokens;
+  engine.m_rate = Observe(engine.m_rate, prefilled, std::max(elapsed, Duration(1)));
 }
 
-void TakeUse(Broker& broker, const CreditUse& use, Instant now) {
+void ApplyUse(Broker& broker, const CreditUse& use, Instant now) {
   const auto found = broker.m_credits.find(use.m_id);
   if (found == broker.m_credits.end())
     return;
   BrokerEngine& engine = broker.m_engines[found->second.m_engine];
   switch (use.m_stage) {
     case UseStage::kFirstToken:
-      NoteFirstToken(broker, found->second, use.m_elapsed);
+      RecordFirstToken(broker, found->second, use.m_elapsed);
       return;
     case UseStage::kFinished: {
       const double held = Seconds(use.m_elapsed);
@@ -71,7 +71,7 @@
       break;
     }
     case UseStage::kFailed:
-      NoteFailure(broker, engine, now);
+      RecordFailure(broker, engine, now);
       break;
     case UseStage::kReturned:
       break;
@@ -79,8 +79,8 @@
   impl::ReleaseCredit(broker, found);
 }
 
-/// What a gateway doesn't hold (any more) is free again.
-void ReleaseAllBut(Broker& broker, const GatewayDemand& demand) {
+/// Releases the credits of a gateway that its resync doesn't list.
+void ReleaseUnlisted(Broker& broker, const GatewayDemand& demand) {
   std::set<CreditId> held;
   for (const Credit& credit : demand.m_held)
     held.insert(credit.m_id);
@@ -92,7 +92,7 @@
   }
 }
 
-/// Counts what a gateway holds by another broker's grant or by fair share.
+/// Adopts the credits that a gateway holds from another broker or by fair share.
 void AdoptHeld(Broker& broker, const GatewayDemand& demand, Instant now) {
   for (const Credit& credit : demand.m_held) {
     const auto engine = broker.m_engine_index.find(credit.m_engine);
@@ -103,7 +103,7 @@
     adopted.m_ref = credit.m_ref;
     adopted.m_engine = engine->second;
     adopted.m_issued = now;
-    adopted.m_first_token = true;  // Its prefill is past or unknown; only the slot is counted.
+    adopted.m_first_token = true;  // Its prefill is over or unknown; only the slot is counted.
     ++broker.m_engines[engine->second].m_used_slots;
     if (credit.m_ref != 0)
       broker.m_by_ref[{demand.m_gateway, credit.m_ref}] = credit.m_id;
@@ -113,33 +113,33 @@
   }
 }
 
-void LearnPatience(Broker& broker, const WaitingRequest& item) {
+void ObservePatience(Broker& broker, const WaitingRequest& item) {
   constexpr double kWeight = 0.02;
   double& mean = broker.m_patience_s[item.m_tier];
-  const double seen = Seconds(item.m_deadline - item.m_arrived);
-  mean += (mean == 0 ? 1.0 : kWeight) * (seen - mean);
+  const double sample = Seconds(item.m_deadline - item.m_arrived);
+  mean += (mean == 0 ? 1.0 : kWeight) * (sample - mean);
 }
 
 void ExpireGateways(Broker& broker, Instant now) {
-  std::set<std::string> gone;
+  std::set<std::string> expired;
   for (const auto& [name, gateway] : broker.m_gateways) {
     if (gateway.m_expires <= now)
-      gone.insert(name);
+      expired.insert(name);
   }
-  if (gone.empty())
+  if (expired.empty())
     return;
   for (auto it = broker.m_credits.begin(); it != broker.m_credits.end();) {
     const auto next = std::next(it);
-    if (gone.contains(it->second.m_gateway))
+    if (expired.contains(it->second.m_gateway))
       impl::ReleaseCredit(broker, it);
     it = next;
   }
-  for (const std::string& name : gone)
+  for (const std::string& name : expired)
     broker.m_gateways.erase(name);
 }
 
-/// Applies the floor's rule; a floor that moved is told to every gateway.
-void MoveFloorOf(Broker& broker,
+/// Moves the floor if its rule says so; a moved floor is sent to every gateway.
+void UpdateFloor(Broker& broker,
                  const TierCounts& backlog,
                  Instant now,
                  std::map<std::string, GrantBatch>& batches) {
@@ -154,17 +154,17 @@
     batches[name];
 }
 
-std::vector<GrantBatch> Decide(Broker& broker, Instant now, const std::string& answer_to) {
+std::vector<GrantBatch> Decide(Broker& broker, Instant now, const std::string& reply_to) {
   std::map<std::string, GrantBatch> batches;
-  if (!answer_to.empty())
-    batches[answer_to];
-  if (!Recovering(broker, now)) {
+  if (!reply_to.empty())
+    batches[reply_to];
+  if (!IsRecovering(broker, now)) {
     impl::GrantWaiting(broker, now, batches);
     impl::GrantPregranted(broker, now, batches);
   }
-  // What still waits after granting: only that is contention.
+  // Only requests that still wait after granting are contention.
   const TierCounts backlog = Backlog(broker);
-  MoveFloorOf(broker, backlog, now, batches);
+  UpdateFloor(broker, backlog, now, batches);
   const bool contended = backlog[0] + backlog[1] + backlog[2] > 0;
   std::vector<GrantBatch> result;
   for (auto& [name, batch] : batches) {
@@ -217,7 +217,7 @@
   issued.m_issued = now;
   ++engine.m_used_slots;
   engine.m_used_prefill += issued.m_new_tokens;
-  broker.m_prefixes.Note(engine_index, request.m_prefixes);
+  broker.m_prefixes.Record(engine_index, request.m_prefixes);
   const CreditId id = (broker.m_epoch << kEpochShift) | broker.m_next_credit++;
   if (request.m_ref != 0)
     broker.m_by_ref[{gateway, request.m_ref}] = id;
@@ -225,10 +225,10 @@
   return {id, request.m_ref, engine.m_budget.m_id, request.m_prompt_tokens};
 }
 
-std::vector<Overdue> OldestUnanswered(const Broker& broker, Instant now) {
+std::vector<Overdue> OldestAwaitingFirstToken(const Broker& broker, Instant now) {
   std::vector<Overdue> oldest(broker.m_engines.size());
   for (const auto& [id, credit] : broker.m_credits) {
-    // A standing credit may be unspent: its age says nothing about the engine.
+    // A pregranted credit may be unspent: its age says nothing about the engine.
     if (credit.m_first_token || credit.m_ref == 0)
       continue;
     Overdue& entry = oldest[credit.m_engine];
@@ -246,7 +246,7 @@
   broker.m_settings = settings;
   broker.m_epoch = epoch;
   broker.m_recovering_until = now + settings.m_lease + settings.m_lease_margin;
-  broker.m_floor.m_epoch = (epoch << kEpochShift) + 1;  // Floor epochs rise across brokers.
+  broker.m_floor.m_epoch = (epoch << kEpochShift) + 1;  // Floor epochs increase across brokers.
   broker.m_floor.m_moved = now;
   broker.m_prefixes = PrefixIndex(settings.m_prefix_capacity);
   return broker;
@@ -277,13 +277,13 @@
   gateway.m_floor_ack = std::max(gateway.m_floor_ack, demand.m_floor_ack);
   gateway.m_waiting = demand.m_waiting;
   if (demand.m_resync)
-    ReleaseAllBut(broker, demand);
+    ReleaseUnlisted(broker, demand);
   AdoptHeld(broker, demand, now);
   for (const CreditUse& use : demand.m_uses)
-    TakeUse(broker, use, now);
+    ApplyUse(broker, use, now);
   gateway.m_items.clear();
   for (const WaitingRequest& item : demand.m_items) {
-    LearnPatience(broker, item);
+    ObservePatience(broker, item);
     if (!broker.m_by_ref.contains({demand.m_gateway, item.m_ref}))
       gateway.m_items.push_back(item);
   }
--- a/packages/policy/src/broker_grant.cc
+++ b/packages/policy/src/broker_grant.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kOccupancyPenaltyS = 0.05;  // Decoding is slower on a full engine.
-constexpr int kProbeSlots = 1;               // Slots of an engine that failed lately.
+constexpr int kProbeSlots = 1;               // Slots of an engine whose last connection failed.
 
 /// A waiting request together with the gateway that holds it.
 struct Candidate {
@@ -17,16 +17,16 @@
   const std::string* m_gateway;
 };
 
-/// What one round of granting knows about engines.
+/// The state of one round of granting; vectors are indexed by engine.
 struct Round {
-  std::vector<double> m_rates;   ///< Planning rate of each engine.
-  std::vector<bool> m_reserved;  ///< Held for a long prompt that waits.
+  std::vector<double> m_rates;   ///< Planned prefill rates.
+  std::vector<bool> m_reserved;  ///< The engine drains for a waiting long prompt.
   std::map<std::pair<std::string, std::string>, std::vector<std::uint32_t>> m_eligible;
 };
 
 Round BeginRound(const Broker& broker, Instant now) {
   Round round;
-  const std::vector<Overdue> overdue = OldestUnanswered(broker, now);
+  const std::vector<Overdue> overdue = OldestAwaitingFirstToken(broker, now);
   for (std::size_t e = 0; e < broker.m_engines.size(); ++e) {
     const double fallback = broker.m_settings.m_fallback_rate;
     const double rate = broker.m_settings.m_use_observed_rates
@@ -70,15 +70,16 @@
          broker.m_settings.m_long_share * static_cast<double>(engine.m_budget.m_prefill_tokens);
 }
 
-/// Long prompts use every second engine only, so that short ones never all stand behind them.
-bool LongLane(std::uint32_t engine) {
+/// Returns true if long prompts may use an engine: every second one, so that short prompts always
+/// find engines without them.
+bool AllowsLongPrompts(std::uint32_t engine) {
   return engine % 2 == 0;
 }
 
 struct Choice {
   std::optional<std::uint32_t> m_engine;
-  double m_first_token_s = 0;              ///< Predicted, on the chosen engine.
-  std::optional<std::uint32_t> m_blocked;  ///< Best engine that lacks prefill budget only.
+  double m_first_token_s = 0;              ///< Predicted time on the chosen engine.
+  std::optional<std::uint32_t> m_blocked;  ///< Best engine that only lacks prefill budget.
 };
 
 Choice ChooseEngine(const Broker& broker,
@@ -93,14 +94,14 @@
     const BrokerEngine& engine = broker.m_engines[e];
     if (!HasSlot(engine, now) || round.m_reserved[e])
       continue;
-    const bool avoided = std::find(request.m_tried.begin(), request.m_tried.end(),
-                                   engine.m_budget.m_id) != request.m_tried.end();
-    if (avoided)
+    const bool tried_before = std::find(request.m_tried.begin(), request.m_tried.end(),
+                                        engine.m_budget.m_id) != request.m_tried.end();
+    if (tried_before)
       continue;
     const std::int64_t cached =
         broker.m_settings.m_use_affinity ? broker.m_prefixes.Known(e, request.m_prefixes) : 0;
     const std::int64_t tokens = std::max<std::int64_t>(1, request.m_prompt_tokens - cached);
-    if (IsLong(broker, engine, tokens) && !LongLane(e) && eligible.size() > 1)
+    if (IsLong(broker, engine, tokens) && !AllowsLongPrompts(e) && eligible.size() > 1)
       continue;
     const double occupancy =
         static_cast<double>(engine.m_used_slots) / static_cast<double>(engine.m_budget.m_slots);
@@ -128,32 +129,32 @@
   return found == broker.m_weights.end() ? 1.0 : static_cast<double>(found->second);
 }
 
-/// The waiting requests of one tier by workspace, oldest last.
-std::map<std::string, std::vector<Candidate>> Lines(const Broker& broker, Tier tier) {
-  std::map<std::string, std::vector<Candidate>> lines;
+/// Returns the waiting requests of one tier by workspace, oldest last.
+std::map<std::string, std::vector<Candidate>> QueuesByWorkspace(const Broker& broker, Tier tier) {
+  std::map<std::string, std::vector<Candidate>> queues;
   for (const auto& [name, gateway] : broker.m_gateways) {
     for (const WaitingRequest& request : gateway.m_items) {
       if (request.m_tier == tier)
-        lines[request.m_workspace].push_back({&request, &name});
+        queues[request.m_workspace].push_back({&request, &name});
     }
   }
-  for (auto& [workspace, line] : lines) {
-    std::stable_sort(line.begin(), line.end(), [](const Candidate& a, const Candidate& b) {
+  for (auto& [workspace, queue] : queues) {
+    std::stable_sort(queue.begin(), queue.end(), [](const Candidate& a, const Candidate& b) {
       return a.m_request->m_arrived < b.m_request->m_arrived;
     });
-    std::reverse(line.begin(), line.end());  // The oldest is taken from the back.
+    std::reverse(queue.begin(), queue.end());  // The oldest is popped from the back.
   }
-  return lines;
+  return queues;
 }
 
-/// The workspace with the least virtual work served; ties go to the first name.
+/// Returns the workspace with the least virtual work served; ties go to the first name.
 std::string NextWorkspace(const Broker& broker,
                           Tier tier,
-                          const std::map<std::string, std::vector<Candidate>>& lines) {
+                          const std::map<std::string, std::vector<Candidate>>& queues) {
   const auto& served = broker.m_served[tier];
   std::string best;
   double least = 0;
-  for (const auto& [workspace, line] : lines) {
+  for (const auto& [workspace, queue] : queues) {
     const auto found = served.find(workspace);
     const double work = found == served.end() ? 0 : found->second;
     if (!best.empty() && work >= least)
@@ -164,25 +165,26 @@
   return best;
 }
 
-/// A workspace that was idle may not claim the time it was away.
-void LiftIdle(Broker& broker,
-              Tier tier,
-              const std::map<std::string, std::vector<Candidate>>& lines) {
+/// Starts newly active workspaces at the least virtual work of the active ones, so that an idle
+/// workspace gains no claim, and removes inactive ones.
+void StartNewWorkspaces(Broker& broker,
+                        Tier tier,
+                        const std::map<std::string, std::vector<Candidate>>& queues) {
   auto& served = broker.m_served[tier];
   double least_active = -1;
-  for (const auto& [workspace, line] : lines) {
+  for (const auto& [workspace, queue] : queues) {
     const auto found = served.find(workspace);
     if (found != served.end() && (least_active < 0 || found->second < least_active))
       least_active = found->second;
   }
-  for (const auto& [workspace, line] : lines)
+  for (const auto& [workspace, queue] : queues)
     served.try_emplace(workspace, std::max(least_active, 0.0));
   for (auto it = served.begin(); it != served.end();)
-    it = lines.contains(it->first) ? std::next(it) : served.erase(it);
+    it = queues.contains(it->first) ? std::next(it) : served.erase(it);
 }
 
 void Charge(Broker& broker, const WaitingRequest& request) {
-  constexpr double kRequestCost = 64;  // Tokens that a request costs besides its prompt.
+  constexpr double kRequestCost = 64;  // Cost of a request besides its prompt, in tokens.
   broker.m_served[request.m_tier][request.m_workspace] +=
       (kRequestCost + static_cast<double>(request.m_prompt_tokens)) /
       Weight(broker, request.m_workspace);
@@ -210,19 +212,19 @@
                Instant now,
                std::map<std::string, GrantBatch>& batches,
                std::vector<Candidate>& settled) {
-  std::map<std::string, std::vector<Candidate>> lines = Lines(broker, tier);
-  LiftIdle(broker, tier, lines);
-  while (!lines.empty()) {
-    const auto line = lines.find(NextWorkspace(broker, tier, lines));
-    const Candidate candidate = line->second.back();
-    line->second.pop_back();
-    if (line->second.empty())
-      lines.erase(line);
+  std::map<std::string, std::vector<Candidate>> queues = QueuesByWorkspace(broker, tier);
+  StartNewWorkspaces(broker, tier, queues);
+  while (!queues.empty()) {
+    const auto queue = queues.find(NextWorkspace(broker, tier, queues));
+    const Candidate candidate = queue->second.back();
+    queue->second.pop_back();
+    if (queue->second.empty())
+      queues.erase(queue);
     const WaitingRequest& request = *candidate.m_request;
     const Choice choice = ChooseEngine(broker, round, request, now);
     if (!choice.m_engine) {
       if (choice.m_blocked)
-        round.m_reserved[*choice.m_blocked] = true;  // It drains for this prompt.
+        round.m_reserved[*choice.m_blocked] = true;  // The engine drains for this prompt.
       continue;
     }
     GrantBatch& batch = batches[*candidate.m_gateway];
@@ -257,19 +259,19 @@
     slots += engine.m_withdrawn ? 0 : static_cast<double>(engine.m_budget.m_slots);
   const int share = static_cast<int>(broker.m_settings.m_pregranted_share * slots /
                                      static_cast<double>(broker.m_gateways.size()));
-  WaitingRequest standing;
-  standing.m_prompt_tokens = broker.m_settings.m_standing_tokens;
+  WaitingRequest pregranted;
+  pregranted.m_prompt_tokens = broker.m_settings.m_pregranted_tokens;
   for (auto& [name, gateway] : broker.m_gateways) {
-    // Start at a different engine for each gateway, so that standing credits spread.
+    // Each gateway starts at a different engine, so that pregranted credits spread over engines.
     std::size_t at = Hash(name) % std::max<std::size_t>(1, broker.m_engines.size());
-    for (std::size_t tried = 0; gateway.m_pregranted < share && tried < broker.m_engines.size();
-         ++tried, at = (at + 1) % broker.m_engines.size()) {
+    for (std::size_t visited = 0; gateway.m_pregranted < share && visited < broker.m_engines.size();
+         ++visited, at = (at + 1) % broker.m_engines.size()) {
       BrokerEngine& engine = broker.m_engines[at];
       const bool half_free = engine.m_used_slots * 2 < engine.m_budget.m_slots;
-      if (!HasSlot(engine, now) || !half_free || !FitsPrefill(engine, standing.m_prompt_tokens))
+      if (!HasSlot(engine, now) || !half_free || !FitsPrefill(engine, pregranted.m_prompt_tokens))
         continue;
       batches[name].m_credits.push_back(
-          IssueCredit(broker, name, standing, static_cast<std::uint32_t>(at), now));
+          IssueCredit(broker, name, pregranted, static_cast<std::uint32_t>(at), now));
       ++gateway.m_pregranted;
     }
   }
--- a/packages/policy/src/credit_book.cc
+++ b/packages/policy/src/credit_book.cc
@@ -30,12 +30,12 @@
   return credit;
 }
 
-void NoteDispatch(CreditBook& book, const Credit& credit) {
+void RecordDispatch(CreditBook& book, const Credit& credit) {
   ++book.m_in_flight[credit.m_engine];
   book.m_spent[credit.m_id] = credit;
 }
 
-void NoteEnd(CreditBook& book, const Credit& credit) {
+void RecordEnd(CreditBook& book, const Credit& credit) {
   const auto in_flight = book.m_in_flight.find(credit.m_engine);
   if (in_flight != book.m_in_flight.end() && --in_flight->second <= 0)
     book.m_in_flight.erase(in_flight);
@@ -75,7 +75,7 @@
   constexpr int kRankShift = 32;
   constexpr std::uint32_t kRankMask = 0x7fffffff;
   const CreditId id =
-      -((static_cast<CreditId>(gateway_rank & kRankMask) << kRankShift) | book.m_next_own++);
+      -((static_cast<CreditId>(gateway_rank & kRankMask) << kRankShift) | book.m_next_fair_share++);
   return Credit{id, 0, best->m_id, prompt_tokens};
 }
 
--- a/packages/policy/src/pool_client.cc
+++ b/packages/policy/src/pool_client.cc
@@ -7,28 +7,32 @@
 namespace poppyway {
 namespace {
 
-constexpr Duration kFlushInterval{2'000};  // Demands are batched for this long under load.
-constexpr std::size_t kMaxItems = 64;      // Waiting requests named in one demand.
+constexpr Duration kFlushInterval{2'000};  // Changes are batched for this long under load.
+constexpr std::size_t kMaxItems = 64;      // Maximum of waiting requests listed in one demand.
 constexpr int kKeepAlivesPerLease = 4;
 constexpr double kServiceWeight = 0.1;
-constexpr Duration kSilence{100'000};      // Without an answer for this long the broker is silent.
-constexpr Duration kFirstWait{3'000'000};  // For a first broker, before fair share holds.
-// A wait that is only estimated must pass the deadline clearly before a request is given up.
+// Time without a response after which the broker is unavailable.
+constexpr Duration kBrokerTimeout{100'000};
+// Wait for a first broker before fair share applies.
+constexpr Duration kFirstBrokerWait{3'000'000};
+// Share of an estimated wait that counts: since it is only an estimate, it must exceed the deadline
+// clearly before a request is rejected.
 constexpr double kWaitConfidence = 0.7;
-constexpr double kDispatchDeviations = 2.0;  // Of the service time, allowed for before dispatch.
+// Deviations of the service time allowed for before dispatch.
+constexpr double kDispatchDeviations = 2.0;
 
 Duration FromSeconds(double seconds) {
   return Duration(static_cast<std::int64_t>(seconds * 1e6));
 }
 
-Duration ServiceOf(const PoolClient& pool, const std::string& event, double deviations) {
+Duration EstimateService(const PoolClient& pool, const std::string& event, double deviations) {
   const auto found = pool.m_service.find(event);
   if (found == pool.m_service.end())
     return Duration(0);
   return FromSeconds(found->second.m_mean_s + deviations * found->second.m_deviation_s);
 }
 
-Duration WaitOf(const PoolClient& pool, Tier tier, int ahead_here) {
+Duration EstimateWait(const PoolClient& pool, Tier tier, int ahead_here) {
   if (!pool.m_contended)
     return Duration(0);
   const Duration wait =
@@ -36,8 +40,8 @@
   return FromSeconds(kWaitConfidence * Seconds(wait));
 }
 
-bool BrokerIsSilent(const PoolClient& pool, Instant now) {
-  return pool.m_unanswered_since != Instant{} && now - pool.m_unanswered_since >= kSilence;
+bool IsBrokerUnavailable(const PoolClient& pool, Instant now) {
+  return pool.m_unanswered_since != Instant{} && now - pool.m_unanswered_since >= kBrokerTimeout;
 }
 
 std::vector<std::string> IdsOf(const std::vector<EngineBudget>& budgets) {
@@ -47,8 +51,8 @@
   return ids;
 }
 
-/// While the broker is silent, credits that came free here serve what waits here.
-void DispatchByStanding(PoolClient& pool,
+/// Dispatches waiting requests with the pregranted credits that this gateway holds.
+void DispatchPregranted(PoolClient& pool,
                         const BudgetsFn& budgets,
                         Instant now,
                         PoolActions& actions) {
@@ -61,7 +65,7 @@
     if (!credit)
       continue;
     (void)pool.m_queue.Remove(ref);
-    NoteDispatch(pool.m_book, *credit);
+    RecordDispatch(pool.m_book, *credit);
     actions.m_dispatches.push_back({ref, *credit});
   }
 }
@@ -82,40 +86,44 @@
       return;
     credit->m_ref = ref;
     (void)pool.m_queue.Remove(ref);
-    NoteDispatch(pool.m_book, *credit);
+    RecordDispatch(pool.m_book, *credit);
     pool.m_unreported.push_back(*credit);
     pool.m_dirty = true;
     actions.m_dispatches.push_back({ref, *credit});
   }
 }
 
-/// For its backlog a tier may be given up only while every lower tier is closed.
-bool MayGiveUp(const PoolClient& pool, Tier tier) {
+/// Returns true if requests of a tier may be rejected for their backlog: only while every lower
+/// tier is closed.
+bool MayRejectForBacklog(const PoolClient& pool, Tier tier) {
   return tier + 1 >= kTiers || !Admits(pool.m_floor, tier + 1);
 }
 
-void RefuseHopeless(const PoolClient& pool, Instant now, PoolActions& actions) {
+void RejectInfeasible(const PoolClient& pool, Instant now, PoolActions& actions) {
   TierCounts ahead{};
   for (const WaitingRequest* request : pool.m_queue.Heads(pool.m_queue.size())) {
-    const Duration wait = WaitOf(pool, request->m_tier, ahead[request->m_tier]++);
-    const Duration service = pool.m_contended ? ServiceOf(pool, request->m_event, 0) : Duration(0);
+    const Duration wait = EstimateWait(pool, request->m_tier, ahead[request->m_tier]++);
+    const Duration service =
+        pool.m_contended ? EstimateService(pool, request->m_event, 0) : Duration(0);
     if (now >= request->m_deadline) {
       actions.m_refusals.push_back({request->m_ref, ResultCode::kDeadlineUnreachable,
                                     "the deadline passed while the request waited"});
-    } else if (MayGiveUp(pool, request->m_tier) && now + wait + service > request->m_deadline) {
+    } else if (MayRejectForBacklog(pool, request->m_tier) &&
+               now + wait + service > request->m_deadline) {
       actions.m_refusals.push_back({request->m_ref, ResultCode::kOverload,
                                     "the backlog of " + MillisText(wait) + " passes the deadline"});
     }
   }
 }
 
-/// Under contention a request that would hardly end in time leaves its place to another.
+/// Returns true if, under contention, a request would hardly end in time and should leave its slot
+/// to another one.
 bool TooLateToStart(const PoolClient& pool, const WaitingRequest& request, Instant now) {
   return pool.m_contended &&
-         now + ServiceOf(pool, request.m_event, kDispatchDeviations) > request.m_deadline;
+         now + EstimateService(pool, request.m_event, kDispatchDeviations) > request.m_deadline;
 }
 
-void TakeGrant(PoolClient& pool, const Credit& credit, Instant now, PoolActions& actions) {
+void ApplyGrant(PoolClient& pool, const Credit& credit, Instant now, PoolActions& actions) {
   const WaitingRequest* request = pool.m_queue.Find(credit.m_ref);
   if (request == nullptr || TooLateToStart(pool, *request, now)) {
     RecordUse(pool, credit, UseStage::kReturned, Duration(0));
@@ -125,7 +133,7 @@
     return;
   }
   (void)pool.m_queue.Remove(credit.m_ref);
-  NoteDispatch(pool.m_book, credit);
+  RecordDispatch(pool.m_book, credit);
   actions.m_dispatches.push_back({credit.m_ref, credit});
 }
 
@@ -139,13 +147,13 @@
   const Tier tier = request.m_tier;
   if (!Admits(pool.m_floor, tier))
     return {ResultCode::kOverload, "tier " + std::to_string(tier) + " is shed for overload", {}};
-  const Duration wait = WaitOf(pool, tier, pool.m_queue.counts()[tier]);
-  const Duration service = ServiceOf(pool, request.m_event, 0);
+  const Duration wait = EstimateWait(pool, tier, pool.m_queue.counts()[tier]);
+  const Duration service = EstimateService(pool, request.m_event, 0);
   if (now + service > request.m_deadline)
     return {ResultCode::kDeadlineUnreachable,
             "the usual service time of " + MillisText(service) + " passes the deadline",
             {}};
-  if (MayGiveUp(pool, tier) && now + wait + service > request.m_deadline)
+  if (MayRejectForBacklog(pool, tier) && now + wait + service > request.m_deadline)
     return {
         ResultCode::kOverload, "the backlog of " + MillisText(wait) + " passes the deadline", {}};
   if (pool.m_queue.size() < max_queue)
@@ -164,7 +172,7 @@
     std::optional<Credit> credit =
         TakePregranted(pool.m_book, engines, request.m_prompt_tokens, now);
     if (credit) {
-      NoteDispatch(pool.m_book, *credit);
+      RecordDispatch(pool.m_book, *credit);
       return credit;
     }
   }
@@ -185,7 +193,7 @@
   if (batch.m_floor_epoch > pool.m_floor_epoch) {
     pool.m_floor = batch.m_floor;
     pool.m_floor_epoch = batch.m_floor_epoch;
-    pool.m_dirty = true;  // The acknowledgement is owed.
+    pool.m_dirty = true;  // The floor's epoch has to be acknowledged.
   }
   pool.m_contended = batch.m_contended;
   pool.m_drain_per_s = batch.m_drain_per_s;
@@ -195,7 +203,7 @@
     if (credit.m_ref == 0)
       pool.m_book.m_pregranted[credit.m_id] = credit;
     else
-      TakeGrant(pool, credit, now, actions);
+      ApplyGrant(pool, credit, now, actions);
   }
   for (const RequestRef ref : batch.m_infeasible) {
     if (pool.m_queue.Find(ref) != nullptr)
@@ -215,12 +223,12 @@
                            Instant now) {
   PoolActions actions;
   if (pool.m_fair_share_from == Instant{})
-    pool.m_fair_share_from = now + kFirstWait;
-  if (BrokerIsSilent(pool, now) && pool.m_queue.size() > 0)
-    DispatchByStanding(pool, budgets, now, actions);
+    pool.m_fair_share_from = now + kFirstBrokerWait;
+  if (IsBrokerUnavailable(pool, now) && pool.m_queue.size() > 0)
+    DispatchPregranted(pool, budgets, now, actions);
   if (now >= pool.m_fair_share_from && pool.m_queue.size() > 0)
     DispatchByFairShare(pool, rank, budgets, actions);
-  RefuseHopeless(pool, now, actions);
+  RejectInfeasible(pool, now, actions);
   return actions;
 }
 
@@ -263,25 +271,25 @@
                  UseStage stage,
                  Duration elapsed,
                  Instant now) {
-  NoteEnd(pool.m_book, credit);
-  const bool keep = stage == UseStage::kFinished && credit.m_id > 0 && BrokerIsSilent(pool, now) &&
-                    now < pool.m_book.m_lease_end;
+  RecordEnd(pool.m_book, credit);
+  const bool keep = stage == UseStage::kFinished && credit.m_id > 0 &&
+                    IsBrokerUnavailable(pool, now) && now < pool.m_book.m_lease_end;
   if (!keep) {
     RecordUse(pool, credit, stage, elapsed);
     return;
   }
-  Credit standing = credit;
-  standing.m_ref = 0;
-  pool.m_book.m_pregranted[standing.m_id] = standing;
+  Credit pregranted = credit;
+  pregranted.m_ref = 0;
+  pool.m_book.m_pregranted[pregranted.m_id] = pregranted;
 }
 
 void LearnService(PoolClient& pool, const std::string& event, Duration service) {
   ServiceEstimate& estimate = pool.m_service[event];
-  const double seen = Seconds(service);
+  const double sample = Seconds(service);
   const bool first = estimate.m_mean_s == 0;
-  estimate.m_mean_s += (first ? 1.0 : kServiceWeight) * (seen - estimate.m_mean_s);
+  estimate.m_mean_s += (first ? 1.0 : kServiceWeight) * (sample - estimate.m_mean_s);
   estimate.m_deviation_s +=
-      kServiceWeight * (std::abs(seen - estimate.m_mean_s) - estimate.m_deviation_s);
+      kServiceWeight * (std::abs(sample - estimate.m_mean_s) - estimate.m_deviation_s);
 }
 
 std::int64_t BacklogAhead(const PoolClient& pool, Tier tier) {
--- a/packages/policy/src/prefix_index.cc
+++ b/packages/policy/src/prefix_index.cc
@@ -26,17 +26,17 @@
   return static_cast<std::int64_t>(kBoundaries[index]) / kBytesPerToken;
 }
 
-void PrefixIndex::Note(std::uint32_t engine, const std::vector<std::uint64_t>& prefixes) {
-  Recent& recent = m_engines[engine];
+void PrefixIndex::Record(std::uint32_t engine, const std::vector<std::uint64_t>& prefixes) {
+  LruList& recent = m_engines[engine];
   for (const std::uint64_t prefix : prefixes) {
-    const auto found = recent.m_at.find(prefix);
-    if (found != recent.m_at.end())
+    const auto found = recent.m_positions.find(prefix);
+    if (found != recent.m_positions.end())
       recent.m_order.erase(found->second);
     recent.m_order.push_front(prefix);
-    recent.m_at[prefix] = recent.m_order.begin();
+    recent.m_positions[prefix] = recent.m_order.begin();
   }
   while (recent.m_order.size() > m_capacity) {
-    recent.m_at.erase(recent.m_order.back());
+    recent.m_positions.erase(recent.m_order.back());
     recent.m_order.pop_back();
   }
 }
@@ -47,7 +47,7 @@
   if (recent == m_engines.end())
     return 0;
   for (std::size_t i = prefixes.size(); i > 0; --i) {
-    if (recent->second.m_at.contains(prefixes[i - 1]))
+    if (recent->second.m_positions.contains(prefixes[i - 1]))
       return PrefixTokens(i - 1);
   }
   return 0;
--- a/packages/policy/src/rate_estimate.cc
+++ b/packages/policy/src/rate_estimate.cc
@@ -8,19 +8,19 @@
 namespace {
 
 constexpr double kWeight = 0.25;
-constexpr std::int64_t kMinTokens = 16;  // Shorter prompts measure overhead, not speed.
-constexpr double kOverdueFactor = 2.0;
-constexpr double kSlowestRate = 1.0;
+constexpr std::int64_t kMinTokens = 16;  // The time of a shorter prompt is mostly overhead.
+constexpr double kOverdueFactor = 2.0;   // A first token is overdue after twice its expected time.
+constexpr double kSlowestRate = 1.0;     // Keeps predicted times finite.
 
 }  // namespace
 
 RateEstimate Observe(const RateEstimate& before, std::int64_t tokens, Duration elapsed) noexcept {
   if (tokens < kMinTokens || elapsed.count() <= 0)
     return before;
-  const double seen = static_cast<double>(tokens) / Seconds(elapsed);
+  const double sample = static_cast<double>(tokens) / Seconds(elapsed);
   if (before.m_samples == 0)
-    return {seen, 1};
-  return {before.m_tokens_per_s + kWeight * (seen - before.m_tokens_per_s), before.m_samples + 1};
+    return {sample, 1};
+  return {before.m_tokens_per_s + kWeight * (sample - before.m_tokens_per_s), before.m_samples + 1};
 }
 
 double PlanningRate(const RateEstimate& estimate,
--- a/packages/policy/src/retry_after.cc
+++ b/packages/policy/src/retry_after.cc
@@ -8,17 +8,17 @@
 namespace poppyway {
 namespace {
 
-constexpr double kLeast = 1;
-constexpr double kMost = 120;
-constexpr double kSpread = 1.0;  // Up to as long again.
+constexpr double kMinSeconds = 1;
+constexpr double kMaxSeconds = 120;
+constexpr double kJitter = 1.0;  // Jitter adds up to the whole drain time.
 
 }  // namespace
 
 int RetryAfter(std::int64_t backlog, double drain_per_s, std::uint64_t random) noexcept {
   const double drain = std::max(drain_per_s, 0.1);
-  const double base = std::clamp(static_cast<double>(backlog) / drain, kLeast, kMost);
+  const double base = std::clamp(static_cast<double>(backlog) / drain, kMinSeconds, kMaxSeconds);
   const double unit = static_cast<double>(random >> 11) * 0x1.0p-53;
-  return static_cast<int>(std::ceil(std::min(base * (1 + kSpread * unit), kMost)));
+  return static_cast<int>(std::ceil(std::min(base * (1 + kJitter * unit), kMaxSeconds)));
 }
 
 }  // namespace poppyway
--- a/packages/policy/src/wait_estimate.cc
+++ b/packages/policy/src/wait_estimate.cc
@@ -12,9 +12,9 @@
   double ahead = 0;
   for (Tier t = 0; t < inputs.m_tier; ++t)
     ahead += inputs.m_backlog[t];
-  const double here = std::max(1, inputs.m_here[inputs.m_tier]);
-  const double share = std::min(1.0, inputs.m_ahead_here / here);
-  ahead += share * std::max(inputs.m_backlog[inputs.m_tier], inputs.m_here[inputs.m_tier]);
+  const double local = std::max(1, inputs.m_local[inputs.m_tier]);
+  const double share = std::min(1.0, inputs.m_local_ahead / local);
+  ahead += share * std::max(inputs.m_backlog[inputs.m_tier], inputs.m_local[inputs.m_tier]);
   return Duration(static_cast<std::int64_t>(ahead / inputs.m_drain_per_s * 1e6));
 }
 
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -93,7 +93,7 @@
   GatewayDemand b = Demand("b", {Request(1, 0)});
   b.m_resync = true;
   b.m_held = {{78, 6, "e", 100}};
-  // Both slots are taken by what the former broker granted.
+  // Both slots are taken by the previous broker's grants.
   CHECK(CreditsOf(HandleDemand(broker, b, At(2))).empty());
   GatewayDemand done = Demand("b", {Request(1, 0)});
   done.m_uses.push_back({78, UseStage::kFinished, Duration(1000)});
@@ -200,7 +200,7 @@
         book.m_gateways = gateways;
         while (const auto credit =
                    TakeFairShare(book, {{"e", slots, 1000}}, static_cast<std::uint32_t>(g), 1)) {
-          NoteDispatch(book, *credit);
+          RecordDispatch(book, *credit);
           ++total;
         }
       }
@@ -280,7 +280,8 @@
   WaitingRequest second = first;
   second.m_ref = 2;
   CHECK(CreditsOf(HandleDemand(broker, Demand("a", {second}), At(2)))[0].m_engine == home);
-  // While the first one's engine still prefills another long prompt, a free engine is faster.
+  // While the engine of the first request still prefills another long prompt, a free engine is
+  // faster.
   WaitingRequest third = first;
   third.m_ref = 3;
   CHECK(CreditsOf(HandleDemand(broker, Demand("a", {third}), At(3)))[0].m_engine != home);
