--- a/packages/policy/include/poppyway/policy/impl/outage_detector.h
+++ b/packages/policy/include/poppyway/policy/impl/outage_detector.h
@@ -12,128 +12,140 @@
 
 namespace poppyway {
 
-/// \brief What one request tells of the path to its server.
+/// \brief What one request shows about the path to its server.
 struct ReachabilityReport {
-  std::string m_data_centre;  ///< Of the server.
+  std::string m_data_centre;  ///< The server's data centre.
   std::string m_server;
   std::string m_reported_by;  ///< The instance that sent the request.
-  bool m_reachable = false;   ///< Something came from the server; false: no connection, or silence.
-  Instant m_sent_at{};        ///< The request went there then; zero: not known.
+  bool m_reachable = false;   ///< False: no connection, or nothing received.
+  Instant m_sent_at{};        ///< When the request was sent; zero if unknown.
 
   friend bool operator==(const ReachabilityReport&, const ReachabilityReport&) = default;
 };
 
-/// \brief A server that was found out of reach, and by whom.
-struct LostServer {
+/// \brief An unreachable server, with the instance that last reported it so.
+struct UnreachableServer {
   std::string m_reported_by;
   Instant m_at{};
 
-  friend bool operator==(const LostServer&, const LostServer&) = default;
+  friend bool operator==(const UnreachableServer&, const UnreachableServer&) = default;
 };
 
-/// \brief What is known of one data centre.
+/// \brief The reachability of one data centre.
 struct DataCentreReachability {
-  int m_servers = 0;  ///< That take new work.
-  std::map<std::string, LostServer>
-      m_unreachable_servers;                   ///< By server, since the data centre was last heard.
-  Instant m_last_response{};                   ///< Any of its servers.
-  Instant m_lost_last{};                       ///< Any of its servers was out of reach.
-  bool m_suspect = false;                      ///< Held to be lost as a whole.
-  Instant m_since{};                           ///< Of the suspicion.
-  std::map<std::string, Instant> m_recovered;  ///< Servers heard since the suspicion began.
-  std::set<std::string> m_appeared;            ///< Servers that registered anew since.
-  std::map<std::string, Instant> m_trials;     ///< Servers on trial, until when.
-  std::map<std::string, Instant> m_declined;  ///< Servers whose trial failed: no other before then.
-  Instant m_next_trial{};                     ///< While none of its servers is back.
+  int m_servers = 0;  ///< Servers that take new work.
+  std::map<std::string, UnreachableServer>
+      m_unreachable_servers;  ///< By server, since the data centre's last response.
+  Instant m_last_response{};  ///< Last response from any of its servers.
+  Instant m_last_failure{};   ///< Last time that a server was reported unreachable.
+  bool m_suspect = false;     ///< The data centre is presumed lost as a whole.
+  Instant m_since{};          ///< When the suspicion began.
+  std::map<std::string, Instant> m_recovered;       ///< First responses since the suspicion began.
+  std::set<std::string> m_registered;               ///< Servers that registered anew since then.
+  std::map<std::string, Instant> m_probes;          ///< Servers being probed, with the probe's end.
+  std::map<std::string, Instant> m_probe_backoffs;  ///< Earliest next probe after a failed one.
+  Instant m_next_probe{};  ///< Earliest next probe while none of its servers has recovered.
 
   friend bool operator==(const DataCentreReachability&, const DataCentreReachability&) = default;
 };
 
-/// \brief Which data centres are held to be lost or cut off as a whole, from all requests that the
-/// owner knows of. At the broker those of all instances, at an instance its own.
+/// \brief Detects data centres that are lost or unreachable as a whole, from the outcomes of
+/// requests.
+///
+/// The broker records the requests of all instances, an instance its own.
 struct OutageDetector {
-  int m_min_reporters = 2;       ///< Instances whose word makes a data centre suspect.
-  Duration m_window{3'000'000};  ///< Older losses say nothing.
-  int m_suspect_count = 0;       ///< Data centres under suspicion.
+  int m_min_reporters = 2;       ///< Reporting instances needed for a suspicion.
+  Duration m_window{3'000'000};  ///< Older reports of unreachable servers are ignored.
+  int m_suspect_count = 0;       ///< Suspect data centres.
   std::map<std::string, DataCentreReachability> m_data_centres;
 
   friend bool operator==(const OutageDetector&, const OutageDetector&) = default;
 };
 
-/// \brief What a sign changed.
+/// \brief The transition that a report caused.
 enum class OutageTransition : std::uint8_t {
   kNone,
-  kSuspect,          ///< The data centre is held to be lost.
-  kServerResponded,  ///< A server there that was held to be lost has answered.
-  kRecovered,        ///< It is ordinary again; what is still out of reach there is so by itself.
+  kSuspect,          ///< The data centre became suspect.
+  kServerResponded,  ///< A server of a suspect data centre responded for the first time.
+  kRecovered,        ///< The suspicion ended; servers still unreachable are treated one by one.
 };
 
-/// \brief A change for the log, with the evidence.
+/// \brief A transition with its evidence, for the log.
 struct OutageEvent {
   std::string m_data_centre;
   OutageTransition m_transition = OutageTransition::kNone;
-  std::size_t m_unreachable_servers = 0;  ///< Servers found out of reach since it was last heard.
-  std::size_t m_reporters = 0;            ///< Instances that found them so.
-  std::size_t m_recovered = 0;            ///< Servers heard since the suspicion began.
+  std::size_t m_unreachable_servers = 0;  ///< Unreachable servers since its last response.
+  std::size_t m_reporters = 0;            ///< Instances that reported them.
+  std::size_t m_recovered = 0;            ///< Servers that responded since the suspicion began.
   int m_servers = 0;
-  Duration
-      m_silence{};  ///< Since the data centre was last heard; of `kRecovered`, since the suspicion.
+  Duration m_silence{};  ///< Time since the data centre's last response; for `kRecovered`, since
+                         ///< the suspicion began.
 
   friend bool operator==(const OutageEvent&, const OutageEvent&) = default;
 };
 
-/// \brief A watch fed by the requests of one instance alone.
+/// \brief Returns a detector for the requests of a single instance.
 [[nodiscard]] OutageDetector LocalOutageDetector();
 
-/// \brief Takes how many servers each data centre has. One that isn't named is forgotten.
+/// \brief Sets the number of servers of each data centre. Other data centres are removed.
 void SetWatched(OutageDetector& detector, const std::map<std::string, int>& servers);
 
-/// \brief Takes one sign. A data centre is suspect once several of its servers are out of reach, by
-/// the word of enough instances, none of it is heard meanwhile and another data centre is.
-/// Without another one that is heard nothing tells its loss from that of the watcher.
+/// \brief Records one report.
+///
+/// A data centre becomes suspect once enough instances report several of its servers unreachable,
+/// none of its servers responds and another data centre does. Without a response from another one,
+/// its loss can't be told from that of the detector's own network. Reports of other data centres
+/// than those of `SetWatched` are ignored.
+/// \return the transition that the report caused; `kNone` if there is none.
 [[nodiscard]] OutageEvent RecordReport(OutageDetector& detector,
-                                       const ReachabilityReport& sign,
+                                       const ReachabilityReport& report,
                                        Instant now);
 
-/// \brief A server registered anew, so it is within reach of the members: in a suspect data centre
-/// it may be used, though it says nothing of the others there.
+/// \brief Records that a server registered anew and is thus reachable from the members: in a
+/// suspect data centre it may be used, but doesn't count as a response of the data centre.
 void Appear(OutageDetector& detector, const std::string& data_centre, const std::string& server);
 
-/// \brief Ends suspicions of data centres that answer again, once no loss was met there for some
-/// time. To be called now and then.
-/// \return true if `event` was set; call again until false.
+/// \brief Ends the suspicion of one data centre that has recovered: all of its servers have, or it
+/// responds and no server of it was reported unreachable for some time.
+///
+/// Call it periodically, each time until it returns false.
+/// \return true if a suspicion ended and `event` was set.
 [[nodiscard]] bool EndRecoveredOutage(OutageDetector& detector, Instant now, OutageEvent& event);
 
-/// \brief True while the data centre is under suspicion.
+/// \brief Returns true while the data centre is suspect.
 [[nodiscard]] bool IsDataCentreSuspect(const OutageDetector& detector,
                                        const std::string& data_centre);
 
-/// \brief True if the server belongs to a suspect data centre and wasn't heard since.
+/// \brief Returns true if the server belongs to a suspect data centre and has neither responded nor
+/// registered anew since.
 [[nodiscard]] bool IsServerSuspect(const OutageDetector& detector,
                                    const std::string& data_centre,
                                    const std::string& server);
 
-/// \brief True if one request may go to a server that is held to be lost, to find out. One for a
-/// data centre at a time until one has answered, then twice as many as servers have.
+/// \brief Returns true if a request may be sent to a suspect server as a probe.
+///
+/// A data centre gets one probe at a time until one of its servers has recovered, then up to two
+/// for each recovered server.
 [[nodiscard]] bool MayProbe(const OutageDetector& detector,
                             const std::string& data_centre,
                             const std::string& server,
                             Instant now);
 
-/// \brief A request goes to a server that is held to be lost; of another server, nothing.
+/// \brief Records that a request is sent to a server as a probe. Has no effect unless the server is
+/// suspect.
 void BeginProbe(OutageDetector& detector,
                 const std::string& data_centre,
                 const std::string& server,
                 Instant now);
 
-/// \brief True if a failure of a request that was sent at `begun` tells of the time before the
-/// server came back.
+/// \brief Returns true if a request sent at `sent_at` was sent before the server's recovery, so
+/// that its failure says nothing about the server's state now.
 [[nodiscard]] bool SentBeforeRecovery(const OutageDetector& detector,
                                       const std::string& data_centre,
                                       const std::string& server,
-                                      Instant begun);
+                                      Instant sent_at);
 
-/// \brief Text for logs.
-[[nodiscard]] std::string_view OutageTransitionName(OutageTransition change) noexcept;
+/// \brief Returns the transition's name in logs.
+[[nodiscard]] std::string_view OutageTransitionName(OutageTransition transition) noexcept;
 
 }  // namespace poppyway
--- a/packages/policy/include/poppyway/policy/impl/poll_source.h
+++ b/packages/policy/include/poppyway/policy/impl/poll_source.h
@@ -12,23 +12,27 @@
 
 namespace poppyway {
 
-/// \brief A member that an instance may read the configuration and the servers from.
+/// \brief A member that an instance may poll for the configuration and the servers.
 struct PollSource {
-  std::string m_data_centre;  ///< Empty: not known yet.
-  Instant m_ejected_until{};  ///< It lagged or didn't answer.
+  std::string m_data_centre;  ///< Empty while unknown.
+  Instant m_ejected_until{};  ///< The member lagged or didn't respond; it is avoided until then.
 
   friend bool operator==(const PollSource&, const PollSource&) = default;
 };
 
-/// \brief Where an instance is.
+/// \brief The location of an instance.
 struct PollerLocation {
   std::string_view m_data_centre;
   std::string_view m_region;
 };
 
-/// \brief The member that an instance reads from: one in its own data centre, else in its region,
-/// else any, so that each change crosses a link between data centres once for each member rather
-/// than once for each instance. Of equals, `turn` spreads the readers.
+/// \brief Selects the member that an instance polls: one in its own data centre, else one in its
+/// region, else any.
+///
+/// Thus each change crosses a link between data centres once for each member rather than once for
+/// each instance. An ejected member is selected only if all of them are.
+/// \param turn selects among equal members; different values spread the instances over them.
+/// \return an index into `sources`.
 /// Precondition: `sources` is not empty.
 [[nodiscard]] std::size_t ChoosePollSource(std::span<const PollSource> sources,
                                            const RegionMap& regions,
--- a/packages/policy/include/poppyway/policy/impl/rollout_trial.h
+++ b/packages/policy/include/poppyway/policy/impl/rollout_trial.h
@@ -12,86 +12,86 @@
 
 namespace poppyway {
 
-/// \brief Names a route within evidence.
+/// \brief Identifies a route within evidence.
 using RouteKey = std::uint64_t;
 
-/// \brief How much of a pool's work a version under trial may get.
+/// \brief The part of a pool's requests that a version under trial may get.
 struct ExposureBounds {
-  double m_share = 0.1;  ///< Of all requests to the pool since the order.
-  double m_slack = 50;   ///< Requests beyond it.
+  double m_share = 0.1;  ///< Share of all requests to the pool since the roll-out was ordered.
+  double m_slack = 50;   ///< Number of requests beyond that share.
 
   friend bool operator==(const ExposureBounds&, const ExposureBounds&) = default;
 };
 
-/// \brief One answer, as evidence on the version that gave it.
+/// \brief One response, as evidence on the version that sent it.
 struct VersionSample {
-  bool m_target = false;  ///< Of the version under trial, else of another one.
+  bool m_target = false;  ///< From the version under trial, else from another one.
   RouteKey m_route = 0;
   std::string m_server;
-  bool m_failed = false;    ///< An answer with a failure.
-  bool m_cut = false;       ///< No whole answer: broken off, unreachable, unsigned.
-  double m_latency_ms = 0;  ///< Of one event of a stream, or of a plain answer; zero: not known.
+  bool m_failed = false;    ///< The response reports a failure.
+  bool m_cut = false;       ///< No complete response: broken off, unreachable or unsigned.
+  double m_latency_ms = 0;  ///< Per event of a stream, or of a plain response; zero if unknown.
 
   friend bool operator==(const VersionSample&, const VersionSample&) = default;
 };
 
-/// \brief What is known of one server's speed. Logarithms of milliseconds.
+/// \brief Evidence on one server. Latencies are logarithms of milliseconds.
 struct ServerEvidence {
-  double m_usual = 0;   ///< Slow average: what an answer is compared with.
-  double m_recent = 0;  ///< Fast average: what the versions are compared by.
-  int m_timed = 0;
-  double m_counted_against = 0;  ///< What its bad answers have added to the evidence.
+  double m_usual = 0;         ///< Slow average; the server's own responses are compared with it.
+  double m_recent = 0;        ///< Fast average; the versions are compared by it.
+  int m_timed = 0;            ///< Responses with a known latency.
+  double m_contribution = 0;  ///< Sum that its bad responses added to the test.
 
   friend bool operator==(const ServerEvidence&, const ServerEvidence&) = default;
 };
 
-/// \brief Answers of one version on one route.
+/// \brief Responses of one version on one route.
 struct RouteEvidence {
-  double m_runs = 0;  ///< Of other versions: decayed, those of the same seconds.
-  double m_bad = 0;
-  double m_against = 0;  ///< Cumulative sum of the sequential test; the target's only.
+  double m_runs = 0;     ///< Responses; for other versions decayed, thus of the last seconds.
+  double m_bad = 0;      ///< Those of `m_runs` that were bad.
+  double m_against = 0;  ///< Cumulative sum of the sequential test; for the target version only.
   Instant m_at{};
 
   friend bool operator==(const RouteEvidence&, const RouteEvidence&) = default;
 };
 
-/// \brief What the evidence says of the target version.
+/// \brief What the evidence shows about the target version.
 enum class TrialFinding : std::uint8_t {
-  kTooLittle,  ///< Too few answers to tell.
+  kTooLittle,  ///< Too few responses to decide.
   kDoubtful,   ///< Neither good nor bad.
   kGood,
-  kFails,  ///< It answers with failures more often than the others do.
-  kSlow,   ///< It is slower than the others.
+  kFails,  ///< It fails more often than the other versions.
+  kSlow,   ///< It is slower than the other versions.
 };
 
-/// \brief Text for logs.
+/// \brief Returns the finding's name in logs.
 [[nodiscard]] std::string_view TrialFindingName(TrialFinding finding) noexcept;
 
-/// \brief True for a version that must get no work.
+/// \brief Returns true for a version that must not get work.
 [[nodiscard]] constexpr bool IsBad(TrialFinding finding) noexcept {
   return finding == TrialFinding::kFails || finding == TrialFinding::kSlow;
 }
 
-/// \brief A roll-out under way as the broker sees it: exposure and evidence.
+/// \brief A roll-out in progress: the target's exposure and the evidence on it.
 struct RolloutTrial {
   std::int64_t m_number = 0;
   std::string m_target;
-  bool m_moving = false;        ///< Found good: the target gets all new work.
-  std::int64_t m_requests = 0;  ///< To the pool since the order.
-  std::int64_t m_sent = 0;      ///< Of those, to the target.
-  std::int64_t m_allowed = 0;   ///< Of those, to the target at most, as the log has it.
-  std::int64_t m_runs = 0;      ///< Whole or failed answers of the target.
-  std::int64_t m_bad_runs = 0;
-  TrialFinding m_finding = TrialFinding::kTooLittle;  ///< As of the last answer; bad stays bad.
+  bool m_moving = false;        ///< The target was found good and gets all new requests.
+  std::int64_t m_requests = 0;  ///< Requests to the pool since the roll-out was ordered.
+  std::int64_t m_sent = 0;      ///< Those of `m_requests` sent to the target.
+  std::int64_t m_allowed = 0;   ///< Committed maximum of `m_sent`.
+  std::int64_t m_runs = 0;      ///< Responses of the target, complete or failed.
+  std::int64_t m_bad_runs = 0;  ///< Those of `m_runs` that were bad.
+  TrialFinding m_finding = TrialFinding::kTooLittle;  ///< As of the last response; bad is final.
   ExposureBounds m_bounds;
-  std::size_t m_looks = 0;  ///< Done when moving work came near to the bounds.
+  std::size_t m_reviews = 0;  ///< Reviews done as moving work neared the bounds.
   std::map<RouteKey, RouteEvidence> m_target_routes;
   std::map<RouteKey, RouteEvidence> m_other_routes;
   std::map<std::string, ServerEvidence> m_target_servers;
   std::map<std::string, ServerEvidence> m_other_servers;
 };
 
-/// \brief Where the log says that a roll-out stands.
+/// \brief The committed state of a roll-out.
 struct TrialCheckpoint {
   std::int64_t m_number = 0;
   std::string m_target;
@@ -102,61 +102,62 @@
   friend bool operator==(const TrialCheckpoint&, const TrialCheckpoint&) = default;
 };
 
-/// \brief A trial that continues there. What an earlier leader saw is not known, so all that it
-/// allowed counts as sent.
+/// \brief Returns a trial that continues from a checkpoint. An earlier leader's evidence isn't
+/// known, so all requests that it allowed count as sent.
 [[nodiscard]] RolloutTrial BeginTrial(const TrialCheckpoint& start, const ExposureBounds& bounds);
 
-/// \brief How many requests the target may have got by now, by the bounds less a margin for
-/// requests that never reach a server.
+/// \brief Returns the number of requests that the target may have got after `requests` to the pool:
+/// the bounds, less a margin since some requests never reach a server.
 [[nodiscard]] std::int64_t AllowedBy(const ExposureBounds& bounds, std::int64_t requests) noexcept;
 
-/// \brief True if a request of this route may go to the target now: some are allowed, and the route
-/// has not been tried much more than the others, unless plenty are allowed.
+/// \brief Returns true if a request of this route may go to the target now: some are allowed, and
+/// the route hasn't had many more runs than the others, unless many are allowed.
 [[nodiscard]] bool MayExpose(const RolloutTrial& trial, RouteKey route);
 
-/// \brief A request goes to a server of the pool.
+/// \brief Counts a request that is sent to a server of the pool.
 void CountSent(RolloutTrial& trial, bool to_target);
 
-/// \brief Learns from an answer.
+/// \brief Updates the trial's evidence and finding from a response.
 void Learn(RolloutTrial& trial, const VersionSample& sample, Instant now);
 
-/// \brief What the evidence comes to.
+/// \brief Returns the finding from the evidence so far.
 ///
-/// At the time to move, and some times more when moving work comes near to the bounds on exposure,
-/// a version is held to the whole of its answers as well: with more bad ones than chance gives it
-/// is in doubt.
+/// A version is doubtful if it has more bad responses, on one route or in all, than chance
+/// explains. That matters when work is to move, and at some reviews as moving work nears the bounds
+/// on exposure.
 ///
-/// Failures and answers far slower than their server's usual are tested one by one, by route: a
-/// cumulative sum (Page 1954) of the log likelihood of a share `kWorseBy` above that of the other
-/// versions in the same seconds, against the same share. It finds a version that turns bad later as
-/// well as one that is bad from the start, and a burst that makes all versions fail counts against
-/// none. One server adds at most part of what is needed, so a server that dies is not a bad
-/// version. Speeds are compared as means of servers, since servers of one version differ several
-/// times.
+/// Failures and responses far slower than is usual for their server are tested one by one, by
+/// route, with a cumulative sum (Page 1954) of the log-likelihood ratio: a share of bad responses
+/// `kExcessBadShare` above that of the other versions in the same seconds, against an equal share.
+/// The test finds a version that turns bad later as well as one that is bad from the start, and a
+/// burst that makes all versions fail counts against none. One server adds at most a part of the
+/// threshold, so that one that dies doesn't make its version bad. Speeds are compared as means over
+/// servers, since servers of one version may differ by a factor of several.
 [[nodiscard]] TrialFinding Judge(const RolloutTrial& trial);
 
-/// \brief What to do with a roll-out next.
+/// \brief The next step of a roll-out.
 enum class RolloutDecision : std::uint8_t { kWait, kMove, kComplete, kRollBack };
 
-/// \brief What decides it.
+/// \brief The inputs of `DecideRollout`.
 struct RolloutInputs {
   bool m_moving = false;
   TrialFinding m_finding = TrialFinding::kTooLittle;
   bool m_others_left = true;  ///< Servers of other versions still take work, or would.
-  bool m_others_busy = true;  ///< Requests run there.
-  Duration m_service{};       ///< Usual time of an answer.
-  Duration m_duration{};      ///< From the order to the deadline.
-  Duration m_left{};          ///< Until the deadline.
+  bool m_others_busy = true;  ///< Requests are in flight at those servers.
+  Duration m_service{};       ///< Usual time of a response.
+  Duration m_duration{};      ///< Time from the order to the deadline.
+  Duration m_left{};          ///< Time until the deadline.
 };
 
-/// \brief The decision, with its reason in `why`.
+/// \brief Returns the next step and sets `why` to its reason.
 ///
 /// A bad version is rolled back at once. A good one is kept on trial for as long as is safe, since
-/// some turn bad later or under load only: work moves when some answers' time is left, and the
-/// roll-out is completed once the others are idle or the time that an acknowledgement takes is
-/// left. Without enough evidence by then it is rolled back: an unknown version with all of the work
-/// could break the bound on exposure, a good one that is rolled back costs another order.
-[[nodiscard]] RolloutDecision DecideRollout(const RolloutInputs& view,
+/// some versions turn bad later or under load only: work moves when the time of a few responses is
+/// left, and the roll-out is completed once the other servers are idle or only the time that an
+/// acknowledgement takes is left. A version without enough evidence when work has to move is rolled
+/// back: with all of the work it could break the bound on exposure, while rolling back a good one
+/// costs only another order.
+[[nodiscard]] RolloutDecision DecideRollout(const RolloutInputs& inputs,
                                             std::string_view& why) noexcept;
 
 }  // namespace poppyway
--- a/packages/policy/include/poppyway/policy/impl/round_trip_table.h
+++ b/packages/policy/include/poppyway/policy/impl/round_trip_table.h
@@ -13,39 +13,44 @@
 
 namespace poppyway {
 
-/// \brief Round trips between regions, learned from connections that came up. A pair counts the
-/// same both ways. Within a region nothing is kept: there it is part of how fast a server is.
+/// \brief Round-trip times between regions, learned from established connections.
+///
+/// A pair of regions has one time for both directions. Nothing is recorded within a region: there
+/// the round trip is part of a server's speed.
 struct RoundTripTable {
-  std::map<std::pair<std::string, std::string>, Duration> m_round_trips;  ///< Names in order.
+  std::map<std::pair<std::string, std::string>, Duration>
+      m_round_trips;  ///< By sorted region names.
 
   friend bool operator==(const RoundTripTable&, const RoundTripTable&) = default;
 };
 
-/// \brief Round trips from one region to each other one that is known.
+/// \brief Round-trip times from one region to each other region that is known.
 using RoundTrips = std::vector<std::pair<std::string, Duration>>;
 
-/// \brief Learns from a new connection that took `connect` to come up. Follows the shortest ones:
-/// a busy machine or a lost packet only ever makes one longer. Regions that are equal or not known
-/// teach nothing.
+/// \brief Updates the table from a new connection that took `connect` to be established.
+///
+/// The estimate follows the shortest times, since a busy machine or a lost packet only ever makes
+/// one longer. Nothing changes if the regions are equal or one is empty, that is, unknown.
 void ObserveConnect(RoundTripTable& table,
                     std::string_view from,
                     std::string_view to,
                     Duration connect);
 
-/// \brief The round trip between two regions; zero where they are equal or it is not known.
+/// \brief Returns the round-trip time between two regions; zero if they are equal or it is unknown.
 [[nodiscard]] Duration RoundTrip(const RoundTripTable& table,
                                  std::string_view from,
                                  std::string_view to);
 
-/// \brief All that is known from one region, for choices among many servers.
+/// \brief Returns all known round-trip times from one region, for choices among many servers.
 [[nodiscard]] RoundTrips RoundTripsFrom(const RoundTripTable& table, std::string_view from);
 
-/// \brief The round trip to a region; zero where it is not known.
+/// \brief Returns the round-trip time to a region, or zero if it is unknown.
 [[nodiscard]] Duration RoundTripTo(const RoundTrips& trips, std::string_view to) noexcept;
 
-/// \brief Of a time that an instance saw, what passed at the server: the rest was on the way.
-[[nodiscard]] inline Duration TimeAtServer(Duration seen, Duration round_trip) noexcept {
-  return round_trip <= Duration(0) ? seen : std::max(Duration(1), seen - round_trip);
+/// \brief Returns the part of a time measured at an instance that passed at the server: the
+/// round-trip time is subtracted.
+[[nodiscard]] inline Duration TimeAtServer(Duration measured, Duration round_trip) noexcept {
+  return round_trip <= Duration(0) ? measured : std::max(Duration(1), measured - round_trip);
 }
 
 }  // namespace poppyway
--- a/packages/policy/include/poppyway/policy/impl/server_health.h
+++ b/packages/policy/include/poppyway/policy/impl/server_health.h
@@ -6,37 +6,41 @@
 
 namespace poppyway {
 
-/// \brief What answers say about a backend server's health.
+/// \brief The health of a backend server, learned from its responses.
 struct ServerHealth {
-  int m_failures = 0;         ///< In a row.
-  double m_failure_rate = 0;  ///< Of recent requests, smoothed.
-  Instant m_ejected_until{};  ///< No new work before, unless too little else is left.
-  Instant m_probe_until{};    ///< A single request tries it out; no other goes there before.
+  int m_failures = 0;         ///< Consecutive failures.
+  double m_failure_rate = 0;  ///< Exponentially weighted share of failed requests.
+  Instant m_ejected_until{};  ///< No new work before, unless too few others are left.
+  Instant m_probe_until{};    ///< A probe request is in flight; no other request is sent before.
 
   friend bool operator==(const ServerHealth&, const ServerHealth&) = default;
 };
 
-/// \brief How a request to a server ended, as far as its health goes.
+/// \brief The outcome of a request with regard to the server's health.
 enum class HealthSignal : std::uint8_t {
-  kSuccess,      ///< A whole answer.
-  kFailure,      ///< A failure of its own, a broken answer, a reset.
-  kUnreachable,  ///< No connection, or silence.
+  kSuccess,      ///< The server sent a complete response.
+  kFailure,      ///< The server failed, reset the connection or broke off its response.
+  kUnreachable,  ///< The connection failed, or nothing was received in time.
 };
 
-/// \brief Learns from one request. A single bad answer changes nothing but the share; several in a
-/// row, or no connection, keep new work away for a time that doubles up to a bound.
+/// \brief Returns the health after one request.
+///
+/// A single failure changes only the failure rate. Several in a row, a high failure rate or a
+/// failed connection eject the server for a time that doubles up to a limit. A success ends the
+/// ejection.
 [[nodiscard]] ServerHealth Observe(const ServerHealth& health,
-                                   HealthSignal sign,
+                                   HealthSignal signal,
                                    Instant now) noexcept;
 
-/// \brief True if new work should go elsewhere where it can.
+/// \brief Returns true if new work should go to other servers where it can: the server is ejected
+/// or being probed.
 [[nodiscard]] bool IsEjected(const ServerHealth& health, Instant now) noexcept;
 
-/// \brief True if the server was avoided and has given no good answer since: it is tried out with
-/// one request at a time.
+/// \brief Returns true if the server was ejected and hasn't succeeded since: it gets one probe
+/// request at a time.
 [[nodiscard]] bool IsHalfOpen(const ServerHealth& health) noexcept;
 
-/// \brief The health once a request is sent to a server on trial.
+/// \brief Returns the health after a probe request was sent to a half-open server.
 [[nodiscard]] ServerHealth BeginProbe(const ServerHealth& health, Instant now) noexcept;
 
 }  // namespace poppyway
--- a/packages/policy/src/poll_source.cc
+++ b/packages/policy/src/poll_source.cc
@@ -7,7 +7,7 @@
 namespace poppyway {
 namespace {
 
-/// The nearer, the less.
+/// Returns 0 for the reader's data centre, 1 for its region and 2 for anything else or unknown.
 int DistanceOf(const PollSource& source, const RegionMap& regions, const PollerLocation& reader) {
   if (source.m_data_centre.empty())
     return 2;
@@ -24,17 +24,17 @@
                              const PollerLocation& reader,
                              std::uint64_t turn,
                              Instant now) {
-  constexpr int kAvoided = 3;  // Farther than any that is not.
+  constexpr int kEjectedDistance = 3;  // Farther than any member that isn't ejected.
   std::vector<std::size_t> nearest;
-  int least = kAvoided + 1;
+  int min_distance = kEjectedDistance + 1;
   for (std::size_t i = 0; i < sources.size(); ++i) {
-    const bool avoided = now < sources[i].m_ejected_until;
-    const int distance = avoided ? kAvoided : DistanceOf(sources[i], regions, reader);
-    if (distance > least)
+    const bool ejected = now < sources[i].m_ejected_until;
+    const int distance = ejected ? kEjectedDistance : DistanceOf(sources[i], regions, reader);
+    if (distance > min_distance)
       continue;
-    if (distance < least)
+    if (distance < min_distance)
       nearest.clear();
-    least = distance;
+    min_distance = distance;
     nearest.push_back(i);
   }
   return nearest[turn % nearest.size()];
--- a/packages/policy/src/round_trip_table.cc
+++ b/packages/policy/src/round_trip_table.cc
@@ -7,17 +7,18 @@
 namespace poppyway {
 namespace {
 
-constexpr double kGainDown = 0.3;  // Towards a shorter one: nothing makes a connection too fast.
-constexpr double kGainUp = 0.01;   // Towards a longer one: some hundred, and the way has changed.
-constexpr int kMostTimes = 2;      // A sample counts as no more than so many times what is known.
-constexpr Duration kLostPacket{900'000};  // The system sends a lost first packet again after 1 s.
+constexpr double kGainDown = 0.3;  // Towards a shorter time: no disturbance shortens a connect.
+// Towards a longer time: a changed route shows after some hundred connections.
+constexpr double kGainUp = 0.01;
+constexpr int kMaxSampleFactor = 2;       // A sample is limited to this multiple of the estimate.
+constexpr Duration kLostPacket{900'000};  // The system retransmits a lost first packet after 1 s.
 
 std::pair<std::string, std::string> PairOf(std::string_view a, std::string_view b) {
   const auto [first, second] = std::minmax(a, b);
   return {std::string(first), std::string(second)};
 }
 
-bool Apart(std::string_view from, std::string_view to) noexcept {
+bool AreDistinctRegions(std::string_view from, std::string_view to) noexcept {
   return !from.empty() && !to.empty() && from != to;
 }
 
@@ -27,21 +28,22 @@
                     std::string_view from,
                     std::string_view to,
                     Duration connect) {
-  const bool tells = Apart(from, to) && connect > Duration(0) && connect < kLostPacket;
-  if (!tells)
+  const bool usable =
+      AreDistinctRegions(from, to) && connect > Duration(0) && connect < kLostPacket;
+  if (!usable)
     return;
   const auto [entry, added] = table.m_round_trips.try_emplace(PairOf(from, to), connect);
   if (added)
     return;
   Duration& known = entry->second;
   const double gain = connect < known ? kGainDown : kGainUp;
-  const Duration sample = std::min(connect, kMostTimes * known);
+  const Duration sample = std::min(connect, kMaxSampleFactor * known);
   known +=
       Duration(static_cast<std::int64_t>(gain * static_cast<double>((sample - known).count())));
 }
 
 Duration RoundTrip(const RoundTripTable& table, std::string_view from, std::string_view to) {
-  if (!Apart(from, to))
+  if (!AreDistinctRegions(from, to))
     return Duration(0);
   const auto found = table.m_round_trips.find(PairOf(from, to));
   return found == table.m_round_trips.end() ? Duration(0) : found->second;
--- a/packages/policy/src/server_choice.cc
+++ b/packages/policy/src/server_choice.cc
@@ -8,38 +8,49 @@
 namespace poppyway {
 namespace {
 
-// Share of the aim that a request may be predicted to wait in a server's own queue, by tier: what
-// waits there has lost its tier, so lower tiers keep out sooner.
+// Share of the latency target that a request may be predicted to wait in a server's own queue, by
+// tier. That queue ignores tiers, so lower tiers have to stay out of it sooner.
 constexpr double kQueueShare[] = {0.30, 0.15, 0.05};
-constexpr double kDefaultServiceMs = 50;    // Until the first answer of a pool is seen.
-constexpr double kDefaultTokensPerMs = 30;  // Likewise; engines of today read 10 to 150.
-constexpr double kLongestSampleMs = 10'000;
-constexpr std::int64_t kLeastTokens = 256;  // Shorter prompts say nothing about the reading rate.
-constexpr double kFixedFirstMs = 15;   // A first event's time apart from reading; seen 14 to 20.
-constexpr double kGainUp = 0.25;       // Towards a faster sample: interference only ever slows one.
-constexpr double kGainDown = 0.04;     // Towards a slower one.
-constexpr double kInTimeShare = 0.85;  // Of what is left of the aim a prediction may fill.
-constexpr double kAheadShare = 0.3;    // Of the aim may be ahead of a prompt that is late anyway.
-constexpr double kYieldShare =
-    0.85;  // Of a server's places that a request which yields may fill up to.
-constexpr double kEventGain = 0.1;    // Some ten streams back, with what else ran beside them.
-constexpr double kPauseGainUp = 0.2;  // Together about the longest pause of five streams in six.
+constexpr double kDefaultServiceMs = 50;     // Used until a pool's first response.
+constexpr double kDefaultTokensPerMs = 30;   // Likewise; engines prefill 10 to 150.
+constexpr double kLongestSampleMs = 10'000;  // Slower first events are ignored.
+// Shorter prompts say nothing about the prefill rate.
+constexpr std::int64_t kMinPrefillTokens = 256;
+constexpr double kFixedFirstMs = 15;  // A first event's time besides prefill: 14 to 20 ms.
+// Towards a faster sample: interference only ever slows a request.
+constexpr double kGainUp = 0.25;
+constexpr double kGainDown = 0.04;  // Towards a slower one.
+// Share of the target's remaining time that a prediction may fill.
+constexpr double kTargetShare = 0.85;
+// Share of the target that others may take ahead of a prompt that is late anyway.
+constexpr double kAheadShare = 0.3;
+// Share of a server's slots that a yielding request may fill up to.
+constexpr double kYieldShare = 0.85;
+constexpr double kEventGain = 0.1;  // Averages about ten streams, with the load beside them.
+// With the gain below, tracks the longest pause of five streams in six.
+constexpr double kPauseGainUp = 0.2;
 constexpr double kPauseGainDown = 0.04;
-constexpr double kRiskFrom = 0.6;       // Of the pause aim: longer usual pauses begin to count.
-constexpr double kRiskEvents = 40;      // A stream this long meets a server's usual longest pause.
-constexpr double kLateEndWeight = 1;    // Of the aim, added where the end would miss the deadline.
-constexpr double kDeadlineShare = 0.9;  // Of the time left that a whole stream is expected to fill.
-constexpr double kReadShare = 0.6;  // Of the aim that an idle server may need to the first event.
-constexpr double kTieMs = 2;        // Predictions closer than this count as equal.
-constexpr double kRemoteShare =
-    0.12;  // Of the aim: what another data centre costs in a comparison.
+// Share of the gap target above which a usual pause counts as a risk.
+constexpr double kRiskFrom = 0.6;
+// A stream of this many events meets a server's usual longest pause.
+constexpr double kRiskEvents = 40;
+// Share of the target added where the end would miss the deadline.
+constexpr double kLateEndWeight = 1;
+// Share of the time left that a whole stream may be expected to fill.
+constexpr double kDeadlineShare = 0.9;
+// Share of the target that an idle server may need to the first event.
+constexpr double kUnloadedShare = 0.6;
+constexpr double kTieMs = 2;           // Predictions within this difference count as equal.
+constexpr double kRemoteShare = 0.12;  // Share of the target added for another data centre.
 
-// Of the aim: what another region costs in a comparison, beside the way. As much as the aim itself:
-// a region that has room serves its own, and only what finds none leaves it.
+// Share of the target added for another region, besides the round-trip time. It is the whole
+// target, so that a region with room serves its own requests and only those that find none leave
+// it.
 constexpr double kRegionShare = 1;
 
-/// What a server that isn't near costs in a comparison, beside the way: a share of the aim.
-double FarShare(const ServerView& server) noexcept {
+/// Returns the penalty of a server outside the data centre, besides the round-trip time, as a share
+/// of the latency target.
+double DistancePenalty(const ServerView& server) noexcept {
   if (server.m_same_data_centre)
     return 0;
   return server.m_round_trip > Duration(0) ? kRegionShare : kRemoteShare;
@@ -64,7 +75,7 @@
   return static_cast<double>(duration.count()) / 1000;
 }
 
-/// Until the first event leaves the server, from when the request has reached it.
+/// Returns the time from when the request reaches the server until its first event leaves it.
 double WorkMs(const ServerView& server,
               const RequestShape& request,
               const ServerPerformance& typical) noexcept {
@@ -85,10 +96,10 @@
   return WorkMs(server, request, typical) + Ms(server.m_round_trip);
 }
 
-/// As if nothing else were at work there.
-double FirstAloneMs(const ServerView& server,
-                    const RequestShape& request,
-                    const ServerPerformance& typical) noexcept {
+/// Returns the time to the first event as if no other request were in flight at the server.
+double UnloadedFirstMs(const ServerView& server,
+                       const RequestShape& request,
+                       const ServerPerformance& typical) noexcept {
   ServerView idle = server;
   idle.m_pending_prefill_tokens = 0;
   idle.m_own_in_flight = 0;
@@ -115,12 +126,13 @@
 Duration PredictUnloadedTimeToFirstEvent(const ServerView& server,
                                          const RequestShape& request,
                                          const ServerPerformance& typical) noexcept {
-  return FromMs(FirstAloneMs(server, request, typical));
+  return FromMs(UnloadedFirstMs(server, request, typical));
 }
 
 namespace {
 
-/// Added to a prediction for streams that would likely be late after their first event.
+/// Returns what is added to the prediction of a stream that would likely be late after its first
+/// event.
 double RiskMs(const ServerView& server,
               const RequestShape& request,
               const ServerPerformance& typical) {
@@ -132,9 +144,9 @@
   double risk = std::clamp(over, 0.0, 1.0) * length;
   const double event =
       Known(server.m_performance.m_event_interval_ms, typical.m_event_interval_ms, 0);
-  const bool misses = request.m_left > Duration(0) &&
-                      request.m_events * event > kDeadlineShare * Ms(request.m_left);
-  if (misses)
+  const bool late = request.m_left > Duration(0) &&
+                    request.m_events * event > kDeadlineShare * Ms(request.m_left);
+  if (late)
     risk += kLateEndWeight;
   return risk * Ms(request.m_latency_target);
 }
@@ -147,36 +159,36 @@
   constexpr std::size_t kLowest = std::size(kQueueShare) - 1;
   const double share = kQueueShare[std::min<std::size_t>(
       static_cast<std::size_t>(std::max(0, static_cast<int>(request.m_tier))), kLowest)];
-  const double aim = Ms(request.m_latency_target);
-  // What is more urgent found no room: only what it can't use is left to others.
-  const int at_work = server.m_own_in_flight + server.m_other_in_flight;
-  if (request.m_yields_to_higher_priority && at_work >= kYieldShare * server.m_slots)
+  const double target = Ms(request.m_latency_target);
+  // A more urgent request waits for a slot, so this one may not use the last ones.
+  const int in_flight = server.m_own_in_flight + server.m_other_in_flight;
+  if (request.m_yields_to_higher_priority && in_flight >= kYieldShare * server.m_slots)
     return false;
   const double queue = QueueMs(server, typical);
-  if (queue > share * aim)
+  if (queue > share * target)
     return false;
   if (request.m_prompt_tokens == 0)
     return true;
-  if (at_work >= server.m_slots || server.m_available_slots <= 0)
+  if (in_flight >= server.m_slots || server.m_available_slots <= 0)
     return false;
-  const double left = kInTimeShare * (aim - Ms(request.m_waited));
+  const double left = kTargetShare * (target - Ms(request.m_waited));
   const double first = FirstMs(server, request, typical);
   if (first <= left)
     return true;
-  const double alone = FirstAloneMs(server, request, typical);
-  return alone > left && first - alone <= kAheadShare * aim;
+  const double unloaded = UnloadedFirstMs(server, request, typical);
+  return unloaded > left && first - unloaded <= kAheadShare * target;
 }
 
 bool CanMeetTargets(const ServerView& server,
                     const RequestShape& request,
                     const ServerPerformance& typical) noexcept {
-  const bool plain = request.m_prompt_tokens == 0;
-  if (plain && server.m_round_trip == Duration(0))
+  const bool is_plain = request.m_prompt_tokens == 0;
+  if (is_plain && server.m_round_trip == Duration(0))
     return true;
-  const double first = FirstAloneMs(server, request, typical);
-  if (plain)
-    return first <= kInTimeShare * Ms(request.m_latency_target);
-  if (first > kReadShare * Ms(request.m_latency_target))
+  const double first = UnloadedFirstMs(server, request, typical);
+  if (is_plain)
+    return first <= kTargetShare * Ms(request.m_latency_target);
+  if (first > kUnloadedShare * Ms(request.m_latency_target))
     return false;
   const double event =
       Known(server.m_performance.m_event_interval_ms, typical.m_event_interval_ms, 0);
@@ -199,20 +211,20 @@
   std::optional<ServerChoice> best;
   double best_ms = 0;
   std::uint64_t equals = 0;
-  const bool any_suits = AnyCanMeetTargets(servers, request, typical);
+  const bool any_can_meet = AnyCanMeetTargets(servers, request, typical);
   for (std::size_t i = 0; i < servers.size(); ++i) {
     const ServerView& server = servers[i];
     if (!server.m_usable || !HasRoom(server, request, typical))
       continue;
-    if (any_suits && !CanMeetTargets(server, request, typical))
+    if (any_can_meet && !CanMeetTargets(server, request, typical))
       continue;
     const double work = WorkMs(server, request, typical);
-    const double way = Ms(server.m_round_trip);
-    // A loaded batch slows every token, so a busy server has to be ahead by more than a free one.
+    const double round_trip = Ms(server.m_round_trip);
+    // A loaded batch slows every token, so the predicted work at a busy server counts for more.
     const double filled = static_cast<double>(server.m_own_in_flight + server.m_other_in_flight) /
                           std::max(1, server.m_slots);
-    const double ms = work * (1 + filled) + way + RiskMs(server, request, typical) +
-                      FarShare(server) * Ms(request.m_latency_target);
+    const double ms = work * (1 + filled) + round_trip + RiskMs(server, request, typical) +
+                      DistancePenalty(server) * Ms(request.m_latency_target);
     if (best && ms > best_ms + kTieMs)
       continue;
     const bool tie = best && ms >= best_ms - kTieMs;
@@ -221,7 +233,7 @@
     const bool take = !tie || (random >> 33) % equals == 0;
     if (!take)
       continue;
-    best = ServerChoice{i, FromMs(work + way)};
+    best = ServerChoice{i, FromMs(work + round_trip)};
     best_ms = tie ? std::min(best_ms, ms) : ms;
   }
   return best;
@@ -250,38 +262,38 @@
   return sum;
 }
 
-ServerPerformance ObserveFirstEvent(const ServerPerformance& pace,
+ServerPerformance ObserveFirstEvent(const ServerPerformance& before,
                                     std::int64_t tokens_read,
                                     Duration elapsed) noexcept {
-  if (tokens_read < kLeastTokens || Ms(elapsed) > kLongestSampleMs)
-    return pace;
-  ServerPerformance after = pace;
+  if (tokens_read < kMinPrefillTokens || Ms(elapsed) > kLongestSampleMs)
+    return before;
+  ServerPerformance after = before;
   const double sample =
       static_cast<double>(tokens_read) / std::max(1.0, Ms(elapsed) - kFixedFirstMs);
   after.m_prefill_tokens_per_ms =
-      Blend(pace.m_prefill_tokens_per_ms, sample,
-            sample > pace.m_prefill_tokens_per_ms ? kGainUp : kGainDown);
+      Blend(before.m_prefill_tokens_per_ms, sample,
+            sample > before.m_prefill_tokens_per_ms ? kGainUp : kGainDown);
   return after;
 }
 
-ServerPerformance ObserveStream(const ServerPerformance& pace,
+ServerPerformance ObserveStream(const ServerPerformance& before,
                                 std::int64_t events,
                                 Duration span,
                                 Duration pause) noexcept {
   if (events <= 0)
-    return pace;
-  ServerPerformance after = pace;
+    return before;
+  ServerPerformance after = before;
   const double sample = Ms(span) / static_cast<double>(events);
-  after.m_event_interval_ms = Blend(pace.m_event_interval_ms, sample, kEventGain);
-  after.m_pause_ms = Blend(pace.m_pause_ms, Ms(pause),
-                           Ms(pause) > pace.m_pause_ms ? kPauseGainUp : kPauseGainDown);
+  after.m_event_interval_ms = Blend(before.m_event_interval_ms, sample, kEventGain);
+  after.m_pause_ms = Blend(before.m_pause_ms, Ms(pause),
+                           Ms(pause) > before.m_pause_ms ? kPauseGainUp : kPauseGainDown);
   return after;
 }
 
-ServerPerformance ObserveService(const ServerPerformance& pace, Duration elapsed) noexcept {
+ServerPerformance ObserveService(const ServerPerformance& before, Duration elapsed) noexcept {
   constexpr double kGain = 0.1;
-  ServerPerformance after = pace;
-  after.m_service_ms = Blend(pace.m_service_ms, Ms(elapsed), kGain);
+  ServerPerformance after = before;
+  after.m_service_ms = Blend(before.m_service_ms, Ms(elapsed), kGain);
   return after;
 }
 
--- a/packages/policy/src/server_health.cc
+++ b/packages/policy/src/server_health.cc
@@ -7,36 +7,38 @@
 namespace poppyway {
 namespace {
 
-// Share of failures: some twenty answers back. At 0.15, and with two failures in a row for a sign,
-// servers that fail 3 in 100 at random were avoided for up to a third of the time, and a service at
-// half its load refused 150 requests in a second.
+// Gain of the failure rate: it averages about twenty responses. With 0.15, and two failures in a
+// row for an ejection, servers that fail 3 in 100 at random are ejected for up to a third of the
+// time, and a service at half its load rejects 150 requests in a second.
 constexpr double kGain = 0.05;
-constexpr double kBadShare = 0.25;        // Above: avoided after each further failure.
-constexpr int kBadInRow = 3;              // At random, 3 in 100 fail so once in 37,000 answers.
-constexpr Duration kFirstAvoid{300'000};  // About a request's time; doubled with each failure.
-constexpr Duration kLongestAvoid{4'000'000};
-constexpr int kMostDoublings = 4;
-constexpr Duration kTrialTime{1'000'000};  // A trial that gives no sign for longer is over.
+constexpr double kMaxFailureRate = 0.25;  // Above this rate each further failure ejects the server.
+// A server that fails 3 in 100 at random does so once in 37,000 responses.
+constexpr int kFailuresToEject = 3;
+// About the time of one request; doubled with each failure.
+constexpr Duration kFirstEjection{300'000};
+constexpr Duration kMaxEjection{4'000'000};
+constexpr int kMaxDoublings = 4;
+constexpr Duration kProbeTimeout{1'000'000};  // A probe without a result ends after this time.
 
 }  // namespace
 
-ServerHealth Observe(const ServerHealth& health, HealthSignal sign, Instant now) noexcept {
+ServerHealth Observe(const ServerHealth& health, HealthSignal signal, Instant now) noexcept {
   ServerHealth after = health;
   after.m_probe_until = {};
-  const double sample = sign == HealthSignal::kSuccess ? 0 : 1;
+  const double sample = signal == HealthSignal::kSuccess ? 0 : 1;
   after.m_failure_rate += kGain * (sample - health.m_failure_rate);
-  if (sign == HealthSignal::kSuccess) {
+  if (signal == HealthSignal::kSuccess) {
     after.m_failures = 0;
     after.m_ejected_until = {};
     return after;
   }
   ++after.m_failures;
-  const bool avoid = sign == HealthSignal::kUnreachable || after.m_failures >= kBadInRow ||
-                     after.m_failure_rate > kBadShare;
-  if (!avoid)
+  const bool eject = signal == HealthSignal::kUnreachable || after.m_failures >= kFailuresToEject ||
+                     after.m_failure_rate > kMaxFailureRate;
+  if (!eject)
     return after;
-  const int doublings = std::clamp(after.m_failures - kBadInRow, 0, kMostDoublings);
-  const Duration span = std::min<Duration>(kFirstAvoid * (1 << doublings), kLongestAvoid);
+  const int doublings = std::clamp(after.m_failures - kFailuresToEject, 0, kMaxDoublings);
+  const Duration span = std::min<Duration>(kFirstEjection * (1 << doublings), kMaxEjection);
   after.m_ejected_until = std::max(health.m_ejected_until, now + span);
   return after;
 }
@@ -51,7 +53,7 @@
 
 ServerHealth BeginProbe(const ServerHealth& health, Instant now) noexcept {
   ServerHealth after = health;
-  after.m_probe_until = now + kTrialTime;
+  after.m_probe_until = now + kProbeTimeout;
   return after;
 }
 
--- a/tests/poll_source_test.cc
+++ b/tests/poll_source_test.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// From which member an instance reads news: near ones first, so that a change of a server crosses
-// each link between data centres a few times and not once for each instance.
+// The choice of the member that an instance polls: near ones first, so that a change crosses each
+// link between data centres a few times rather than once for each instance.
 #include <catch2/catch.hpp>
 #include <map>
 
--- a/tests/pool_simulation.h
+++ b/tests/pool_simulation.h
@@ -13,43 +13,43 @@
 #include "poppyway/policy.h"
 
 /// \file
-/// \brief A pool of engines, its callers and a broker of places on simulated time: no network, no
-/// clock. One seed gives one course of events.
+/// \brief A pool of engines, its callers and a slot broker on simulated time, without network or
+/// clock. Equal seeds give equal runs.
 
 namespace poppyway::test {
 
-/// \brief One kind of request as callers send it.
+/// \brief One kind of request that callers send.
 struct SimulatedKind {
   Tier m_route_tier = 0;
   double m_per_s = 0;
   double m_prompt_tokens = 0;
-  double m_events = 0;  ///< Mean of an answer.
+  double m_events = 0;  ///< Mean number in a response.
   Duration m_latency_target{};
   Duration m_deadline{};
 };
 
-/// \brief What became of a group of requests.
+/// \brief The outcome of a group of requests.
 struct SimulatedOutcome {
   int m_asked = 0;
-  int m_served = 0;  ///< A place was given in time for the whole answer before its deadline.
+  int m_served = 0;  ///< Got a slot in time to complete before the deadline.
 
   [[nodiscard]] double share() const { return m_asked == 0 ? 1 : double(m_served) / m_asked; }
 };
 
-/// \brief A day: kinds, engines, how long.
+/// \brief A simulated run: kinds of requests, engines, duration.
 struct SimulatedDay {
   std::vector<SimulatedKind> m_kinds;
   int m_engines = 60;
   int m_slots = 9;
-  std::vector<double> m_event_interval_ms = {
-      25, 44, 120};  ///< By generation of engines, in turn, as full ones run.
+  std::vector<double> m_event_interval_ms = {25, 44,
+                                             120};  ///< By generation in turn, at full load.
   double m_prefill_tokens_per_ms = 56.6;
   double m_tokens_per_event = 7;
   int m_workspaces = 16;
-  double m_length_spread = 1.2;  ///< Of the logarithm of an answer's length.
-  double m_hint_spread = 0.5;    ///< Of the logarithm of the callers' error on it.
+  double m_length_spread = 1.2;  ///< Deviation of the logarithm of a response's length.
+  double m_hint_spread = 0.5;    ///< Deviation of the logarithm of callers' error on it.
   Duration m_span{30'000'000};
-  Duration m_return{700'000};  ///< A refused caller comes back once, after this.
+  Duration m_return{700'000};  ///< A rejected caller retries once, after this time.
   std::uint64_t m_seed = 1;
 };
 
@@ -59,11 +59,11 @@
   std::map<Tier, SimulatedOutcome> m_by_rank;
   std::map<std::string, SimulatedOutcome> m_by_workspace;
   std::map<std::string, SimulatedOutcome> m_by_data_centre;
-  std::map<Tier, SimulatedOutcome> m_largest_tenth;  ///< By tokens in and ten times tokens out.
+  std::map<Tier, SimulatedOutcome> m_largest_tenth;  ///< By prompt plus ten times output tokens.
   std::map<Tier, SimulatedOutcome> m_next_fifth;
 };
 
-/// \brief Plays a day with one instance per data centre before one broker.
+/// \brief Simulates a run with one instance per data centre and one broker.
 class PoolSimulation {
  public:
   explicit PoolSimulation(SimulatedDay day) : m_day(std::move(day)), m_random(m_day.m_seed) {}
@@ -80,11 +80,11 @@
   }
 
  private:
-  enum class What { kArrive, kFirst, kEnd, kTick };
+  enum class EventKind { kArrive, kFirst, kEnd, kTick };
   struct Event {
     Instant m_at{};
-    std::int64_t m_number = 0;  ///< Events of one moment keep their order.
-    What m_what = What::kTick;
+    std::int64_t m_number = 0;  ///< Keeps the order of simultaneous events.
+    EventKind m_event_kind = EventKind::kTick;
     SlotRef m_ref = 0;
     bool operator<(const Event& b) const {
       return m_at != b.m_at ? m_at > b.m_at : m_number > b.m_number;
@@ -95,8 +95,8 @@
     std::string m_workspace;
     std::string m_data_centre;
     std::int64_t m_prompt = 0;
-    std::int64_t m_length = 0;  ///< Events.
-    std::int64_t m_hint = 0;    ///< Tokens, as the caller expects them.
+    std::int64_t m_length = 0;  ///< Number of events.
+    std::int64_t m_hint = 0;    ///< Tokens that the caller expects.
     Instant m_arrived{};
     std::size_t m_engine = 0;
     Duration m_first{};
@@ -121,14 +121,14 @@
       Resync(m_broker, DataCentre(i), 4, m_now);
     m_end = m_now + m_day.m_span;
     for (const SimulatedKind& kind : m_day.m_kinds)
-      Arrivals(kind);
+      ScheduleArrivals(kind);
     for (Instant at = m_now; at < m_end; at += kTickInterval)
-      Schedule(at, What::kTick, 0);
+      Schedule(at, EventKind::kTick, 0);
   }
 
   static std::string DataCentre(int i) { return std::string(1, static_cast<char>('a' + i % 4)); }
 
-  void Arrivals(const SimulatedKind& kind) {
+  void ScheduleArrivals(const SimulatedKind& kind) {
     std::exponential_distribution<double> gap(kind.m_per_s);
     std::lognormal_distribution<double> length(
         std::log(kind.m_events) - m_day.m_length_spread * m_day.m_length_spread / 2,
@@ -146,40 +146,42 @@
       request.m_length = std::max<std::int64_t>(1, std::int64_t(events));
       request.m_hint = std::max<std::int64_t>(
           1, std::int64_t(double(request.m_length) * m_day.m_tokens_per_event * error(m_random)));
-      Schedule(m_now + Duration(std::int64_t(at * 1e6)), What::kArrive, ref);
+      Schedule(m_now + Duration(std::int64_t(at * 1e6)), EventKind::kArrive, ref);
     }
   }
 
-  void Schedule(Instant at, What what, SlotRef ref) { m_events.push({at, ++m_number, what, ref}); }
+  void Schedule(Instant at, EventKind event_kind, SlotRef ref) {
+    m_events.push({at, ++m_number, event_kind, ref});
+  }
 
-  Request& At(SlotRef ref) { return m_requests[static_cast<std::size_t>(ref) - 1]; }
+  Request& RequestOf(SlotRef ref) { return m_requests[static_cast<std::size_t>(ref) - 1]; }
 
   void Handle(const Event& event) {
     std::vector<SlotResponse> out;
-    switch (event.m_what) {
-      case What::kArrive:
-        AskFor(event.m_ref, out);
+    switch (event.m_event_kind) {
+      case EventKind::kArrive:
+        SendSlotRequest(event.m_ref, out);
         break;
-      case What::kFirst: {
+      case EventKind::kFirst: {
         SlotReport report{.m_ref = event.m_ref};
-        report.m_tokens_read = At(event.m_ref).m_prompt;
-        report.m_time_to_first_event = At(event.m_ref).m_first;
-        ApplyReport(m_broker, At(event.m_ref).m_data_centre, report, m_now, out);
+        report.m_tokens_read = RequestOf(event.m_ref).m_prompt;
+        report.m_time_to_first_event = RequestOf(event.m_ref).m_first;
+        ApplyReport(m_broker, RequestOf(event.m_ref).m_data_centre, report, m_now, out);
         break;
       }
-      case What::kEnd:
+      case EventKind::kEnd:
         End(event.m_ref, out);
         break;
-      case What::kTick:
+      case EventKind::kTick:
         TickBroker(m_broker, m_now, out);
         break;
     }
     for (const SlotResponse& answer : out)
-      Take(answer);
+      HandleResponse(answer);
   }
 
-  void AskFor(SlotRef ref, std::vector<SlotResponse>& out) {
-    Request& request = At(ref);
+  void SendSlotRequest(SlotRef ref, std::vector<SlotResponse>& out) {
+    Request& request = RequestOf(ref);
     if (request.m_tries++ == 0)
       request.m_arrived = m_now;
     SlotRequest slot_request;
@@ -199,7 +201,7 @@
   }
 
   void End(SlotRef ref, std::vector<SlotResponse>& out) {
-    const Request& request = At(ref);
+    const Request& request = RequestOf(ref);
     SlotReport report{.m_ref = ref};
     report.m_ended = true;
     report.m_health_signal = HealthSignal::kSuccess;
@@ -217,23 +219,23 @@
     return Duration(std::int64_t(double(request.m_length) * EventMs(request) * 1000));
   }
 
-  void Take(const SlotResponse& answer) {
-    Request& request = At(answer.m_ref);
+  void HandleResponse(const SlotResponse& answer) {
+    Request& request = RequestOf(answer.m_ref);
     if (answer.m_verdict == SlotVerdict::kQueued)
       return;
     if (answer.m_verdict != SlotVerdict::kPlaced) {
-      const bool again = request.m_tries == 1 && m_now + m_day.m_return < Deadline(request);
-      if (again)
-        Schedule(m_now + m_day.m_return, What::kArrive, answer.m_ref);
+      const bool may_retry = request.m_tries == 1 && m_now + m_day.m_return < Deadline(request);
+      if (may_retry)
+        Schedule(m_now + m_day.m_return, EventKind::kArrive, answer.m_ref);
       return;
     }
     request.m_engine = std::stoul(answer.m_server.substr(1));
     request.m_first = Duration(
         std::int64_t((15 + double(request.m_prompt) / m_day.m_prefill_tokens_per_ms) * 1000));
-    Schedule(m_now + request.m_first, What::kFirst, answer.m_ref);
+    Schedule(m_now + request.m_first, EventKind::kFirst, answer.m_ref);
     const Instant end = m_now + request.m_first + Span(request);
     request.m_served = end <= Deadline(request);
-    Schedule(std::min(end, Deadline(request)), What::kEnd, answer.m_ref);
+    Schedule(std::min(end, Deadline(request)), EventKind::kEnd, answer.m_ref);
   }
 
   [[nodiscard]] Instant Deadline(const Request& request) const {
--- a/tests/rollout_trial_test.cc
+++ b/tests/rollout_trial_test.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// A version under trial: what it may get, and how soon its answers give it away. Many seeded
-// roll-outs of a small model of two versions, on given time.
+// The exposure of a version under trial, and how soon a bad one is found. The tests run many seeded
+// roll-outs of a small model of two versions on simulated time.
 #include <catch2/catch.hpp>
 #include <random>
 
@@ -14,29 +14,29 @@
 constexpr Duration kRollout{12'000'000};
 constexpr Duration kSecond{1'000'000};
 
-/// How the target version is bad.
+/// The fault of the target version.
 struct Fault {
-  double m_fails = 0;         ///< Share of its answers that are failures.
-  double m_slow = 1;          ///< Times slower...
-  double m_slow_share = 0;    ///< ...of this share of its answers.
-  double m_from_s = 0;        ///< Bad from this second on.
-  int m_on_route = -1;        ///< Only there; -1: on all.
+  double m_fails = 0;         ///< Share of its responses that fail, in addition.
+  double m_slow = 1;          ///< Factor by which it is slower...
+  double m_slow_share = 0;    ///< ...in this share of its responses.
+  double m_from_s = 0;        ///< Second at which the fault begins.
+  int m_on_route = -1;        ///< The only route with the fault; -1: all routes.
   bool m_under_load = false;  ///< Only at servers that are over half full.
 };
 
-/// A pool: servers of each version with speeds of their own, routes with shares of failures that
-/// any version has.
+/// A pool: each server has its own speed, and each route a share of failures that all versions
+/// have.
 struct Model {
   int m_servers = 8;
-  double m_speed_spread = 0.25;  ///< Of the logarithm of servers' paces.
-  double m_noise = 0.3;          ///< Of the logarithm of an answer's time at its server.
+  double m_speed_spread = 0.25;  ///< Deviation of the logarithm of servers' latencies.
+  double m_noise = 0.3;          ///< Deviation of the logarithm of a response's time at its server.
   double m_per_s = 180;
   double m_service_ms = 30;
-  std::vector<double> m_natural = {0.004, 0.14};  ///< Failures by route, of every version.
-  double m_burst_fails = 0;  ///< Share that fails at every version between 3 and 6 s.
+  std::vector<double> m_natural = {0.004, 0.14};  ///< Share of failures by route, all versions.
+  double m_burst_fails = 0;  ///< Additional share of failures at every version from 3 to 6 s.
 };
 
-/// A pool of sixty engines whose generations are five times apart in speed.
+/// Returns a pool of sixty engines whose generations differ in speed by a factor of five.
 Model Engines() {
   Model engines;
   engines.m_servers = 60;
@@ -54,26 +54,26 @@
   Duration m_took{};
 };
 
-/// One roll-out, driven as the leader drives it: evidence, exposure from the log in steps of 200
-/// ms, decisions.
+/// Runs one roll-out as the leader does: evidence, committed exposure in steps of 200 ms,
+/// decisions.
 Outcome Play(const Model& model, const Fault& fault, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::normal_distribution<double> normal(0, 1);
   std::uniform_real_distribution<double> uniform(0, 1);
-  std::vector<double> pace[2];
-  for (auto& side : pace) {
+  std::vector<double> latency_ms[2];
+  for (auto& side : latency_ms) {
     for (int i = 0; i < model.m_servers; ++i)
       side.push_back(30 * std::exp(model.m_speed_spread * normal(random)));
   }
   RolloutTrial trial = BeginTrial({1, "v2", false, 0, 0}, kBounds);
   const Instant begun{Duration(1'000'000)};
   const Duration gap(static_cast<std::int64_t>(1e6 / model.m_per_s));
-  Instant told = begun - Duration(1'000'000);
+  Instant exposure_updated = begun - Duration(1'000'000);
   Outcome outcome;
   for (Instant now = begun; now < begun + kRollout; now += gap) {
     const Duration left = begun + kRollout - now;
-    if (now - told >= Duration(200'000)) {
-      told = now;
+    if (now - exposure_updated >= Duration(200'000)) {
+      exposure_updated = now;
       trial.m_allowed = std::max(trial.m_allowed, AllowedBy(kBounds, trial.m_requests));
     }
     std::string_view why;
@@ -105,8 +105,8 @@
     sample.m_server = std::to_string(server);
     sample.m_failed = uniform(random) < fails;
     const bool slow = bad_now && uniform(random) < fault.m_slow_share;
-    sample.m_latency_ms = pace[target ? 1 : 0][server] * std::exp(model.m_noise * normal(random)) *
-                          (slow ? fault.m_slow : 1);
+    sample.m_latency_ms = latency_ms[target ? 1 : 0][server] *
+                          std::exp(model.m_noise * normal(random)) * (slow ? fault.m_slow : 1);
     Learn(trial, sample, now);
   }
   outcome.m_sent = trial.m_sent;
@@ -115,20 +115,21 @@
 }
 
 struct Tally {
-  int m_right = 0;
-  int m_over = 0;  ///< Exposure over the bound.
+  int m_correct = 0;
+  int m_over = 0;  ///< Roll-outs whose exposure exceeds the bound.
   double m_most_over = 0;
 };
 
 constexpr int kPlays = 500;
 
-/// \param bad whether the right end is a roll-back.
+/// Runs `kPlays` roll-outs.
+/// \param bad true if a roll-back is the correct end.
 Tally PlayAll(const Model& model, const Fault& fault, bool bad) {
   Tally tally;
   for (std::uint64_t seed = 1; seed <= kPlays; ++seed) {
     const Outcome outcome = Play(model, fault, seed);
-    tally.m_right += (bad ? outcome.m_rolled_back : outcome.m_completed) ? 1 : 0;
-    // The rest of the time until the deadline adds requests that the target doesn't get.
+    tally.m_correct += (bad ? outcome.m_rolled_back : outcome.m_completed) ? 1 : 0;
+    // Until the deadline the pool gets further requests, none of which goes to the target.
     const double all = model.m_per_s * Seconds(kRollout);
     const double most = kBounds.m_share * all + kBounds.m_slack;
     if (bad && static_cast<double>(outcome.m_sent) > most)
@@ -138,14 +139,14 @@
 }
 
 TEST_CASE("a good version is completed") {
-  CHECK(PlayAll({}, {}, false).m_right >= 0.98 * kPlays);
-  CHECK(PlayAll(Engines(), {}, false).m_right >= 0.98 * kPlays);
+  CHECK(PlayAll({}, {}, false).m_correct >= 0.98 * kPlays);
+  CHECK(PlayAll(Engines(), {}, false).m_correct >= 0.98 * kPlays);
 }
 
 TEST_CASE("a good version is completed although servers of all versions fail for some seconds") {
   Model model;
   model.m_burst_fails = 0.4;
-  CHECK(PlayAll(model, {}, false).m_right >= 0.95 * kPlays);
+  CHECK(PlayAll(model, {}, false).m_correct >= 0.95 * kPlays);
 }
 
 TEST_CASE("a version that fails is rolled back, within its exposure") {
@@ -161,7 +162,7 @@
                                                  {0.3, 0, -1, true}}));
   CAPTURE(fails, from_s, on_route, under_load);
   const Tally tally = PlayAll({}, {fails, 1, 0, from_s, on_route, under_load}, true);
-  CHECK(tally.m_right >= 0.97 * kPlays);
+  CHECK(tally.m_correct >= 0.97 * kPlays);
   CHECK(tally.m_over == 0);
 }
 
@@ -170,19 +171,19 @@
       table<double, double, double>({{8, 1, 0}, {4, 1, 0}, {4, 0.5, 0}, {8, 0.3, 0}, {4, 1, 5}}));
   CAPTURE(slow, share, from_s);
   const Tally tally = PlayAll({}, {0, slow, share, from_s, -1, false}, true);
-  CHECK(tally.m_right >= 0.97 * kPlays);
+  CHECK(tally.m_correct >= 0.97 * kPlays);
   CHECK(tally.m_over == 0);
 }
 
 TEST_CASE("a slow version of unlike engines is rolled back") {
   const Tally tally = PlayAll(Engines(), {0, 5, 1, 0, -1, false}, true);
-  CHECK(tally.m_right >= 0.97 * kPlays);
+  CHECK(tally.m_correct >= 0.97 * kPlays);
   CHECK(tally.m_over == 0);
 }
 
 TEST_CASE("a version of engines that turns bad late stays within its exposure") {
   const Tally tally = PlayAll(Engines(), {0.3, 1, 0, 9, -1, false}, true);
-  CHECK(tally.m_right >= 0.97 * kPlays);
+  CHECK(tally.m_correct >= 0.97 * kPlays);
   CHECK(tally.m_over == 0);
 }
 
--- a/tests/round_trip_table_test.cc
+++ b/tests/round_trip_table_test.cc
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What reaching another region costs, in the choice of a server.
+// Round-trip times between regions: how they are learned and what they add to the choice of a
+// server.
 #include <catch2/catch.hpp>
 #include <random>
 
@@ -22,9 +23,9 @@
   return view;
 }
 
-RequestShape Booking(Duration aim = Duration(200'000)) {
+RequestShape Booking(Duration target = Duration(200'000)) {
   RequestShape shape;
-  shape.m_latency_target = aim;
+  shape.m_latency_target = target;
   return shape;
 }
 
@@ -65,9 +66,10 @@
       Duration connect = kTrip + Duration(static_cast<std::int64_t>(part(random) * 4'000));
       const double luck = part(random);
       if (luck < 0.05)
-        connect += Duration(1'000'000);  // A lost first packet.
+        connect += Duration(1'000'000);  // The first packet is lost.
       else if (luck < 0.25)
-        connect += Duration(static_cast<std::int64_t>(part(random) * 150'000));  // A busy machine.
+        connect +=
+            Duration(static_cast<std::int64_t>(part(random) * 150'000));  // The machine is busy.
       ObserveConnect(table, "east", "west", connect);
     }
     CHECK(RoundTrip(table, "east", "west") >= kTrip);
@@ -94,7 +96,7 @@
 }
 
 TEST_CASE("a short answer isn't fetched from far away while its own region gives it sooner") {
-  // 15 ms of queue here; 60 ms of way there.
+  // The near server has 15 ms of queue; the far one is 60 ms away.
   const std::vector<ServerView> views{Service(7, Duration(0)), Service(0, kTrip)};
   CHECK(Choose(views, Booking())->m_index == 0);
 }
@@ -106,7 +108,7 @@
   ServerView far = near;
   far.m_round_trip = kTrip;
   near.m_same_data_centre = true;
-  near.m_pending_prefill_tokens = 2'000;  // 200 ms ahead here, 60 ms of way there.
+  near.m_pending_prefill_tokens = 2'000;  // 200 ms ahead here; 60 ms round trip there.
   RequestShape prompt;
   prompt.m_prompt_tokens = 500;
   prompt.m_latency_target = Duration(800'000);
@@ -136,7 +138,7 @@
   far.m_slots = 4;
   far.m_performance.m_prefill_tokens_per_ms = 10;
   RequestShape prompt;
-  prompt.m_prompt_tokens = 4'500;  // 450 ms to read, 15 ms besides.
+  prompt.m_prompt_tokens = 4'500;  // 450 ms of prefill, 15 ms besides.
   prompt.m_latency_target = Duration(600'000);
   CHECK(HasRoom(far, prompt, {}));
   far.m_pending_prefill_tokens = 300;
@@ -146,7 +148,7 @@
   CHECK_FALSE(HasRoom(far, prompt, {}));
 }
 
-// ---- At the broker -----------------------------------------------------------------------------
+// ---- Broker -------------------------------------------------------------------------------------
 
 BackendServer ServerAt(const std::string& id, const std::string& data_centre) {
   BackendServer server;
@@ -157,7 +159,7 @@
   return server;
 }
 
-SlotBroker BrokerOf(const RegionMap& regions) {
+SlotBroker MakeBrokerWith(const RegionMap& regions) {
   SlotBroker broker = MakeSlotBroker(1, 7, Duration(4'500'000), kStart);
   SetRegions(broker, regions);
   std::vector<BackendServer> servers{ServerAt("s0", "e1"), ServerAt("s1", "w1"),
@@ -169,7 +171,7 @@
   return broker;
 }
 
-SlotRequest PlaceWanted(SlotRef ref, const std::string& data_centre = "e1") {
+SlotRequest MakeSlotRequest(SlotRef ref, const std::string& data_centre = "e1") {
   SlotRequest slot_request;
   slot_request.m_ref = ref;
   slot_request.m_pool = "app";
@@ -180,7 +182,7 @@
   return slot_request;
 }
 
-SlotReport EndOf(SlotRef ref, Duration service, Duration connect) {
+SlotReport MakeEndReport(SlotRef ref, Duration service, Duration connect) {
   SlotReport report;
   report.m_ref = ref;
   report.m_ended = true;
@@ -191,20 +193,20 @@
 }
 
 TEST_CASE("the broker learns the way between regions, and counts it neither as speed nor as wait") {
-  SlotBroker broker = BrokerOf({{"e1", "east"}, {"w1", "west"}});
-  SlotRequest slot_request = PlaceWanted(1);
+  SlotBroker broker = MakeBrokerWith({{"e1", "east"}, {"w1", "west"}});
+  SlotRequest slot_request = MakeSlotRequest(1);
   slot_request.m_tried = {"s0"};
   std::vector<SlotResponse> out;
   RequestSlot(broker, "a", slot_request, kStart, out);
   REQUIRE(out.at(0).m_verdict == SlotVerdict::kPlaced);
-  ApplyReport(broker, "a", EndOf(1, Duration(75'000), kTrip), kStart, out);
+  ApplyReport(broker, "a", MakeEndReport(1, Duration(75'000), kTrip), kStart, out);
   CHECK(RoundTrip(broker.m_round_trip_table, "east", "west") == kTrip);
   const SlotPool& pool = broker.m_pools.at("app");
   CHECK(pool.m_views[1].m_performance.m_service_ms + pool.m_views[2].m_performance.m_service_ms ==
         Approx(15));
-  // From the other region the same servers are near.
+  // To an instance in the other region the same servers are near.
   out.clear();
-  SlotRequest there = PlaceWanted(2, "w1");
+  SlotRequest there = MakeSlotRequest(2, "w1");
   there.m_tried = {"s0"};
   RequestSlot(broker, "a", there, kStart, out);
   CHECK(out.at(0).m_time_to_first_event == Duration(15'000));
@@ -215,8 +217,8 @@
 }
 
 TEST_CASE("in one region, or without regions, nothing is learned and every place is the same") {
-  SlotBroker none = BrokerOf({});
-  SlotBroker one = BrokerOf({{"e1", "east"}, {"w1", "east"}});
+  SlotBroker none = MakeBrokerWith({});
+  SlotBroker one = MakeBrokerWith({{"e1", "east"}, {"w1", "east"}});
   std::mt19937 random(3);
   for (SlotRef ref = 1; ref <= 400; ++ref) {
     const Instant now = kStart + Duration(5'000 * ref);
@@ -225,10 +227,10 @@
     const Duration connect(static_cast<std::int64_t>(random() % 90'000));
     std::vector<SlotResponse> left;
     std::vector<SlotResponse> right;
-    RequestSlot(none, "a", PlaceWanted(ref, from), now, left);
-    RequestSlot(one, "a", PlaceWanted(ref, from), now, right);
-    ApplyReport(none, "a", EndOf(ref - 9, service, connect), now, left);
-    ApplyReport(one, "a", EndOf(ref - 9, service, connect), now, right);
+    RequestSlot(none, "a", MakeSlotRequest(ref, from), now, left);
+    RequestSlot(one, "a", MakeSlotRequest(ref, from), now, right);
+    ApplyReport(none, "a", MakeEndReport(ref - 9, service, connect), now, left);
+    ApplyReport(one, "a", MakeEndReport(ref - 9, service, connect), now, right);
     REQUIRE(left == right);
   }
   CHECK(one.m_round_trip_table == RoundTripTable{});
@@ -236,7 +238,7 @@
         one.m_pools.at("app").m_views[1].m_performance);
 }
 
-// ---- At an instance ----------------------------------------------------------------------------
+// ---- Instance -----------------------------------------------------------------------------------
 
 TEST_CASE("an instance learns the way for itself and tells the broker of new connections") {
   ScriptedServer server([](const std::string& request) { return MakeResponse(request, "ok"); });
--- a/tests/server_choice_test.cc
+++ b/tests/server_choice_test.cc
@@ -9,7 +9,7 @@
 namespace poppyway {
 namespace {
 
-constexpr Duration kAim{800'000};
+constexpr Duration kTarget{800'000};
 const Instant kNow{Duration(1'000'000)};
 
 ServerView Engine(double tokens_per_ms, int at_work) {
@@ -26,7 +26,7 @@
   RequestShape shape;
   shape.m_tier = tier;
   shape.m_prompt_tokens = tokens;
-  shape.m_latency_target = kAim;
+  shape.m_latency_target = kTarget;
   return shape;
 }
 
@@ -72,7 +72,7 @@
 }
 
 TEST_CASE("of a full service's own queue lower tiers use less") {
-  // One would wait 150 ms for a place: more than a lower tier may, less than the highest.
+  // The wait for a slot is 150 ms: more than a lower tier may wait, less than the highest may.
   const std::vector<ServerView> views{Engine(50, 10)};
   CHECK(Choose(views, Prompt(0, 0)));
   CHECK_FALSE(Choose(views, Prompt(0, 1)));
