--- a/packages/policy/src/pool_client.cc
+++ b/packages/policy/src/pool_client.cc
@@ -51,7 +51,8 @@
   return ids;
 }
 
-/// Dispatches waiting requests with the pregranted credits that this gateway holds.
+/// While the broker doesn't respond, dispatches waiting requests with the pregranted credits that
+/// this gateway holds, which include those of finished requests.
 void DispatchPregranted(PoolClient& pool,
                         const BudgetsFn& budgets,
                         Instant now,
