--- a/tests/document_decoder_test.cc
+++ b/tests/document_decoder_test.cc
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Documents that follow on one another are read as each is alone, whatever stays the same.
+// A decoder that reuses parts of the last document gives the same results as decoding each document
+// on its own.
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <random>
@@ -26,7 +27,7 @@
 
 const std::string kRest = R"("services":[{"name":"app"},{"name":"routes"}],"tenants":[])";
 
-/// Both say the same, of the table or of what is wrong.
+/// Checks that both ways of decoding give the same table or the same error.
 void CheckSame(platform::DocumentDecoder& decoder, const std::string& text) {
   const Result<RouteTable> alone = platform::DecodeDocument(text);
   const Result<RouteTable> after = decoder.Decode(text);
@@ -53,7 +54,8 @@
         routes.erase(routes.begin() + static_cast<std::ptrdiff_t>(random() % routes.size()));
         break;
       case 2:
-        routes[random() % routes.size()] = RouteText(1000 + round, round);  // Zero is refused.
+        // In round 0 the timeout is zero, which is rejected.
+        routes[random() % routes.size()] = RouteText(1000 + round, round);
         break;
       default:
         std::shuffle(routes.begin(), routes.end(), random);
@@ -97,8 +99,8 @@
   CheckSame(decoder, DocumentText({route}, kRest));
 }
 
-// Each change of a large configuration held up the requests of an instance while all of it was
-// read.
+// Guards against small changes that delay the requests of an instance while all of a large document
+// is decoded.
 TEST_CASE("a small change of a large document is read in a small part of the time of all of it") {
   std::vector<std::string> routes;
   for (int i = 0; i < 4000; ++i)
@@ -113,7 +115,7 @@
   };
   double whole = 0;
   double change = 0;
-  constexpr int kRounds = 5;  // The best of each counts: others may use the processor.
+  constexpr int kRounds = 5;  // The best of each counts: other processes may use the CPU.
   for (int round = 0; round < kRounds; ++round) {
     platform::DocumentDecoder decoder;
     const double whole_now = seconds_of(decoder, first);
--- a/tests/heartbeat_test.cc
+++ b/tests/heartbeat_test.cc
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Heartbeats of backend servers, and such that another writer sends: those name no server.
+// Heartbeats of backend servers. Malformed ones, which a foreign writer may send, register no
+// server.
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
@@ -27,8 +28,8 @@
           {"models", {"m1", "m2"}}};
 }
 
-/// What is wrong with the heartbeat once `key` has this value.
-std::optional<Fault> FaultWith(const char* key, Json value) {
+/// Returns the error of a heartbeat in which `key` has this value; nullopt if it is accepted.
+std::optional<Fault> ErrorWith(const char* key, Json value) {
   Json json = Heartbeat();
   json[key] = std::move(value);
   const std::string body = json.dump();
@@ -37,7 +38,7 @@
   return fault;
 }
 
-std::optional<Fault> FaultWithout(const char* key) {
+std::optional<Fault> ErrorWithout(const char* key) {
   Json json = Heartbeat();
   json.erase(key);
   return FindHeartbeatError("PUT", kTarget, json.dump());
@@ -63,11 +64,11 @@
 TEST_CASE("what servers don't always tell may be missing") {
   for (const char* key : {"version", "cold_left_ms", "born", "stage", "models"}) {
     CAPTURE(key);
-    CHECK_FALSE(FaultWithout(key));
+    CHECK_FALSE(ErrorWithout(key));
   }
-  CHECK_FALSE(FaultWith("state", "draining"));
-  CHECK_FALSE(FaultWith("cold_left_ms", 0.5));
-  CHECK_FALSE(FaultWith("sequence", 0));
+  CHECK_FALSE(ErrorWith("state", "draining"));
+  CHECK_FALSE(ErrorWith("cold_left_ms", 0.5));
+  CHECK_FALSE(ErrorWith("sequence", 0));
 }
 
 TEST_CASE("a heartbeat without a field that every server tells names no server") {
@@ -76,7 +77,7 @@
       {"slots", Fault::kSlots},     {"state", Fault::kState},     {"sequence", Fault::kSequence}};
   for (const auto& [key, fault] : cases) {
     CAPTURE(key);
-    CHECK(FaultWithout(key) == fault);
+    CHECK(ErrorWithout(key) == fault);
   }
 }
 
@@ -85,30 +86,30 @@
       7, nullptr, true, Json::array(), Json::object(), "", std::string(257, 'x'), "a\nb"};
   for (const Json& value : wrong_names) {
     CAPTURE(value.dump());
-    CHECK(FaultWith("service", value) == Fault::kService);
-    CHECK(FaultWith("zone", value) == Fault::kZone);
-    CHECK(FaultWith("address", value) == Fault::kAddress);
-    CHECK(FaultWith("state", value) == Fault::kState);
+    CHECK(ErrorWith("service", value) == Fault::kService);
+    CHECK(ErrorWith("zone", value) == Fault::kZone);
+    CHECK(ErrorWith("address", value) == Fault::kAddress);
+    CHECK(ErrorWith("state", value) == Fault::kState);
   }
   for (const Json& value : {Json("Ready"), Json("gone"), Json("READY"), Json("ready ")})
-    CHECK(FaultWith("state", value) == Fault::kState);
+    CHECK(ErrorWith("state", value) == Fault::kState);
   for (const Json& value : {Json("10.0.0.1"), Json("10.0.0.1:0"), Json("10.0.0.1:65536"),
                             Json("10.0.0.1:-1"), Json("10.0.0.1:80x"), Json("host:80")})
-    CHECK(FaultWith("address", value) == Fault::kAddress);
+    CHECK(ErrorWith("address", value) == Fault::kAddress);
   for (const Json& value : {Json(0), Json(-1), Json(65'537), Json(2.0), Json(1e300), Json("4"),
                             Json(true), Json(nullptr), Json(18446744073709551615ULL)})
-    CHECK(FaultWith("slots", value) == Fault::kSlots);
+    CHECK(ErrorWith("slots", value) == Fault::kSlots);
   for (const Json& value :
        {Json(-1), Json(1.5), Json("4"), Json(nullptr), Json(18446744073709551615ULL)})
-    CHECK(FaultWith("sequence", value) == Fault::kSequence);
+    CHECK(ErrorWith("sequence", value) == Fault::kSequence);
   for (const Json& value : {Json(7), Json(nullptr), Json(std::string(257, 'x')), Json::array()})
-    CHECK(FaultWith("version", value) == Fault::kVersion);
+    CHECK(ErrorWith("version", value) == Fault::kVersion);
   for (const Json& value : {Json(-1), Json("4"), Json(nullptr), Json(true), Json(1e300)})
-    CHECK(FaultWith("cold_left_ms", value) == Fault::kColdLeft);
-  // One in microseconds would make all later lives late news.
+    CHECK(ErrorWith("cold_left_ms", value) == Fault::kColdLeft);
+  // A process start time in microseconds would make all later processes stale.
   for (const Json& value : {Json(0), Json(-5), Json(1.5), Json("1764727200000"), Json(nullptr),
                             Json(true), Json(1'764'727'200'000'000)})
-    CHECK(FaultWith("born", value) == Fault::kBorn);
+    CHECK(ErrorWith("born", value) == Fault::kBorn);
 }
 
 TEST_CASE("bytes that can't be read name no server") {
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -133,16 +133,16 @@
   const std::string document = Document().dump();
   std::mt19937_64 random(20261202);
   for (int round = 0; round < 3'000; ++round) {
-    std::string spoiled = document;
+    std::string malformed = document;
     for (int i = 0; i < 4; ++i)
-      spoiled[random() % spoiled.size()] = static_cast<char>(random());
-    (void)DecodeDocument(spoiled);
-    (void)DecodeControlRequest("PUT", "/-/instances/a", spoiled);
-    (void)ParseHostedSettings(spoiled, "x");
+      malformed[random() % malformed.size()] = static_cast<char>(random());
+    (void)DecodeDocument(malformed);
+    (void)DecodeControlRequest("PUT", "/-/instances/a", malformed);
+    (void)ParseHostedSettings(malformed, "x");
     (void)MakeProtocolAdapter().m_decode_request(
-        {{"x-token-count", spoiled}, {"x-prefix-hash", spoiled}});
+        {{"x-token-count", malformed}, {"x-prefix-hash", malformed}});
     (void)MakeProtocolAdapter().m_decode_response(
-        200, {{"x-server-load", spoiled}, {"keep-alive", spoiled}});
+        200, {{"x-server-load", malformed}, {"keep-alive", malformed}});
   }
 }
 
@@ -153,18 +153,18 @@
   CHECK(put.m_document.body == Document().dump());
   CHECK(DecodeControlRequest("GET", "/-/config", "")->m_kind ==
         ControlRequest::Kind::kReadDocument);
-  const ControlRequest beat =
+  const ControlRequest heartbeat =
       DecodeControlRequest("PUT", "/-/instances/i-1",
                            R"({"service":"llm","address":"10.128.0.9:8080","zone":"z","slots":7,
                             "state":"draining","sequence":4})")
           .value();
-  CHECK(beat.m_kind == ControlRequest::Kind::kServerHeartbeat);
-  CHECK(beat.m_server.id == "i-1");
-  CHECK(beat.m_server.pool == "llm");
-  CHECK(beat.m_server.address == "10.128.0.9");
-  CHECK(beat.m_server.port == 8080);
-  CHECK(beat.m_server.stage == wire::ServerStage::LEAVING);
-  CHECK(beat.m_server.sequence == 4);
+  CHECK(heartbeat.m_kind == ControlRequest::Kind::kServerHeartbeat);
+  CHECK(heartbeat.m_server.id == "i-1");
+  CHECK(heartbeat.m_server.pool == "llm");
+  CHECK(heartbeat.m_server.address == "10.128.0.9");
+  CHECK(heartbeat.m_server.port == 8080);
+  CHECK(heartbeat.m_server.stage == wire::ServerStage::LEAVING);
+  CHECK(heartbeat.m_server.sequence == 4);
   const ControlRequest gone = DecodeControlRequest("DELETE", "/-/instances/i-1", "").value();
   CHECK(gone.m_server.stage == wire::ServerStage::GONE);
   CHECK(DecodeControlRequest("GET", "/-/other", "")->m_kind == ControlRequest::Kind::kUnknown);
@@ -274,12 +274,12 @@
   CHECK(decode(503, {{"retry-after", "3"}}).m_back_off == Duration(3'000'000));
   CHECK(decode(503, {{"retry-after", " 0.25 "}}).m_back_off == Duration(250'000));
   CHECK_FALSE(decode(503, {}).m_back_off);
-  // Of other answers it is for the caller.
+  // With other statuses the field is meant for the caller.
   CHECK_FALSE(decode(429, {{"retry-after", "3"}}).m_back_off);
   CHECK_FALSE(decode(200, {{"retry-after", "3"}}).m_back_off);
   CHECK(decode(503, {{"retry-after", "1e300"}}).m_back_off == Duration(86'400'000'000));
-  for (const std::string spoiled : {"", "-1", "soon", "3s", "nan", "inf", "1e999"}) {
-    const ServerResponse answer = decode(503, {{"retry-after", spoiled}});
+  for (const std::string malformed : {"", "-1", "soon", "3s", "nan", "inf", "1e999"}) {
+    const ServerResponse answer = decode(503, {{"retry-after", malformed}});
     CHECK_FALSE(answer.m_back_off);
     CHECK(answer.m_unreadable == "retry-after");
   }
@@ -293,9 +293,9 @@
   CHECK_FALSE(decode(200, {}).m_leaving);
   CHECK_FALSE(decode(200, {{"connection", "close"}}).m_leaving);
   CHECK_FALSE(decode(200, {{"server-leaving", "0"}}).m_leaving);
-  const ServerResponse spoiled = decode(200, {{"server-leaving", "later"}});
-  CHECK_FALSE(spoiled.m_leaving);
-  CHECK(spoiled.m_unreadable == "server-leaving");
+  const ServerResponse malformed = decode(200, {{"server-leaving", "later"}});
+  CHECK_FALSE(malformed.m_leaving);
+  CHECK(malformed.m_unreadable == "server-leaving");
 }
 
 TEST_CASE("an order to roll out is decoded, or refused with what is wrong") {
