--- a/packages/state/include/poppyway/state.h
+++ b/packages/state/include/poppyway/state.h
@@ -5,10 +5,10 @@
 /// \file
 /// \brief Controllers of the shared state: configuration, dispatch ledger, leases, instances.
 ///
-/// \detail `StateMachine` is what the replicated log drives: pure and deterministic, so that every
-/// member that applied the same entries holds the same state. `InstanceTable` is the leader's own
-/// memory of heartbeats; it is rebuilt by a new leader within one lease. Neither reads a clock.
-/// No object is thread-safe; each belongs to the control task.
+/// \detail The replicated log drives `StateMachine`. It is deterministic and has no side effects,
+/// so that all members that applied the same entries hold the same state. `InstanceTable` holds the
+/// heartbeats that the leader received; it isn't replicated, and a new leader rebuilds it within
+/// one lease. Neither reads a clock. No object is thread-safe; each belongs to the control task.
 
 #include "poppyway/state/impl/configuration.h"
 #include "poppyway/state/impl/dispatch_ledger.h"
--- a/packages/state/include/poppyway/state/impl/document_history.h
+++ b/packages/state/include/poppyway/state/impl/document_history.h
@@ -9,50 +9,52 @@
 
 namespace poppyway {
 
-/// \brief Largest document, in bytes.
+/// \brief Largest document, in bytes. Larger ones are rejected.
 inline constexpr std::size_t kMaxDocumentBytes = 32u << 20;
 
-/// \brief The step from one document to a later one.
+/// \brief Computes the change from one document to a later one.
 [[nodiscard]] wire::DocumentChange DiffDocuments(const wire::Document& base,
                                                  const wire::Document& target);
-/// \brief The step from the empty text: the whole document.
+/// \brief Returns the change from the empty text, which holds the full document; its base is 0.
 [[nodiscard]] wire::DocumentChange FullDocumentChange(const wire::Document& document);
 
-/// \brief The document after `change`.
-/// \return `kVersionConflict` if the change is from another version than `base`, `kPeerProtocol` if
-/// its edits can't be read or their result isn't what was meant.
+/// \brief Applies a change to a document; a change with base 0 applies to any.
+/// \return the changed document; `kVersionConflict` if the change starts from another version than
+/// `base`, `kPeerProtocol` if its edits can't be decoded or the result's digest doesn't match.
 [[nodiscard]] Result<wire::Document> PatchDocument(const wire::Document& base,
                                                    const wire::DocumentChange& change);
 
-/// \brief What a member keeps to tell readers of the document: the last steps, and one whole
-/// document from which they can be followed, so that what a reader is sent follows what it lacks.
+/// \brief The changes that a member keeps to serve readers of the document: the latest ones, and a
+/// full document to which they apply. A reader gets only what it lacks.
 struct DocumentHistory {
-  std::deque<wire::DocumentChange> m_steps;  ///< Each begins where the one before ends.
-  std::size_t m_bytes = 0;                   ///< Of the steps' edits.
-  wire::DocumentChange m_whole;              ///< Version 0: not made yet.
-  wire::DocumentChange m_earlier_whole;      ///< For readers that are in the middle of it.
+  std::deque<wire::DocumentChange>
+      m_changes;            ///< Each starts at the version at which the previous one ends.
+  std::size_t m_bytes = 0;  ///< Size of the edits in `m_changes`.
+  wire::DocumentChange m_full_change;           ///< Full document; version 0: none yet.
+  wire::DocumentChange m_previous_full_change;  ///< For readers that are still fetching it.
 };
 
-/// \brief Notes a step that was taken. Steps that don't follow on it are forgotten, and the oldest
-/// ones beyond what a whole document would cost.
-void AppendToHistory(DocumentHistory& history, const wire::DocumentChange& step);
+/// \brief Appends an applied change. Drops the earlier ones if it doesn't follow on them, and the
+/// oldest ones beyond the cost of a full document. A change with base 0 becomes the full document.
+void AppendToHistory(DocumentHistory& history, const wire::DocumentChange& change);
 
-/// \brief The steps that lead from version `have` to `newest`, empty if that is what `have` is.
-/// They begin with the whole document if `have` isn't known any more or the steps are larger than
-/// that.
+/// \brief Returns the changes that lead from version `have` to `newest`; none if `have` isn't
+/// older. They begin with a full document if the changes from `have` are no longer kept or are
+/// larger than that. May replace the full document that `history` holds.
 [[nodiscard]] std::vector<wire::DocumentChange> DocumentChangesSince(DocumentHistory& history,
                                                                      const wire::Document& newest,
                                                                      std::int64_t have);
 
-/// \brief The step from `base` to `version`; null if it isn't kept.
+/// \brief Returns the change from `base` to `version`, or null if it isn't kept. The pointer is
+/// valid until `history` changes.
 [[nodiscard]] const wire::DocumentChange* FindDocumentChange(const DocumentHistory& history,
                                                              std::int64_t base,
                                                              std::int64_t version);
 
-/// \brief Steps as one answer tells them: the edits of the first ones as they are, up to `most`
-/// bytes together; then one without its edits, to be fetched in pieces.
+/// \brief Limits the changes that one reply carries: keeps the first ones with up to `most` bytes
+/// of edits in total, then one without its edits, which the reader fetches in pieces, and no more.
 [[nodiscard]] std::vector<wire::DocumentChange> LimitChangeBytes(
-    std::vector<wire::DocumentChange> steps,
+    std::vector<wire::DocumentChange> changes,
     std::int64_t most);
 
 }  // namespace poppyway
--- a/packages/state/include/poppyway/state/impl/evacuation_state.h
+++ b/packages/state/include/poppyway/state/impl/evacuation_state.h
@@ -9,24 +9,26 @@
 
 namespace poppyway {
 
-/// \brief Takes an operator's order. One that changes nothing, as a repeated one does, leaves the
-/// state as it is; so does one that was taken before the data centre's last order was known.
+/// \brief Applies an operator's order to begin or to end an evacuation. `index` is the order's log
+/// index. Ignores an order that changes nothing, such as a repeated one, and one that was accepted
+/// by a member that did not know of the data centre's last order.
 ///
-/// A member that passes an order on may be cut off from the leader meanwhile. The operator sends it
-/// again elsewhere and may have taken it back by the time the first one arrives.
+/// The second rule covers a member that forwards an order while it is cut off from the leader: the
+/// operator sends the order again through another member, and may have revoked it before the first
+/// copy arrives.
 void ApplyEvacuation(HostedState& state, const wire::EvacuationOrder& order, std::int64_t index);
 
-/// \brief True if the servers of a data centre are to get nothing new.
+/// \brief True if the servers of a data centre must get no new requests.
 [[nodiscard]] bool IsEvacuated(const HostedState& state, const std::string& data_centre);
 
-/// \brief The number of a data centre's last order; zero: none was given.
+/// \brief Returns the number of a data centre's last order; zero if there was none.
 [[nodiscard]] std::int64_t LastEvacuationNumber(const HostedState& state,
                                                 const std::string& data_centre);
 
-/// \brief The log index of the last order that changed something; zero: none did.
+/// \brief Returns the log index of the last order that changed something; zero if none did.
 [[nodiscard]] std::int64_t LastEvacuationIndex(const HostedState& state);
 
-/// \brief True if a server has registered from a data centre, or an order was given for it.
+/// \brief True if a known server registered from the data centre, or an order was applied to it.
 [[nodiscard]] bool KnowsDataCentre(const HostedState& state, const std::string& data_centre);
 
 }  // namespace poppyway
--- a/packages/state/include/poppyway/state/impl/instance_table.h
+++ b/packages/state/include/poppyway/state/impl/instance_table.h
@@ -12,35 +12,38 @@
 
 namespace poppyway {
 
-/// \brief One instance as the leader knows it.
+/// \brief The last heartbeat of an instance, and when the leader received it.
 struct InstanceRecord {
   wire::Heartbeat m_heartbeat;
   Instant m_last_heartbeat{};
 };
 
-/// \brief The leader's memory of heartbeats. A new leader begins with an empty one.
+/// \brief The heartbeats that the leader received. A new leader starts with an empty table.
 struct InstanceTable {
   Duration m_lease{3'000'000};
-  Duration m_margin{500'000};
+  Duration m_margin{500'000};  ///< Added to the lease before it expires here.
   Instant m_leading_since{};
   std::map<std::string, InstanceRecord> m_live;  ///< By incarnation.
-  std::set<std::string> m_ended_incarnations;    ///< Incarnations to tell the ledger of.
+  std::set<std::string> m_ended_incarnations;    ///< To be reported to the ledger.
 };
 
-/// \brief A leader's empty table.
+/// \brief Returns the empty table of a leader that starts at `now`.
 [[nodiscard]] InstanceTable MakeInstanceTable(Duration lease, Duration margin, Instant now);
 
-/// \brief Takes a heartbeat. A new incarnation of an instance ends the former one at once.
-void RecordHeartbeat(InstanceTable& table, const wire::Heartbeat& beat, Instant now);
+/// \brief Records a heartbeat. A new incarnation of an instance ends its earlier ones at once.
+void RecordHeartbeat(InstanceTable& table, const wire::Heartbeat& heartbeat, Instant now);
 
-/// \brief Moves instances whose lease ran out to `m_ended_incarnations`, together with owners of
-/// running claims that never showed up since this leader began.
+/// \brief Moves instances without a heartbeat for lease plus margin to `m_ended_incarnations`. Once
+/// this leader has led for that long, adds the owners of running claims that aren't live.
 void ExpireInstances(InstanceTable& table,
                      const std::set<std::string>& running_owners,
                      Instant now);
 
-/// \brief Lease grants that are due: pools without a live, willing holder. Nothing is granted until
-/// a predecessor's lease has surely run out.
+/// \brief Returns the lease grants to propose now: one for each of `leases` without a live holder
+/// that isn't stopping, if an instance can take it.
+///
+/// A lease whose holder isn't live moves only once this leader has led for lease plus margin: the
+/// holder may have renewed it with the previous leader and still act on it.
 [[nodiscard]] std::vector<wire::LeaseGrant> PlanLeaseGrants(
     const InstanceTable& table,
     const std::vector<std::string>& leases,
--- a/packages/state/include/poppyway/state/impl/rollout_state.h
+++ b/packages/state/include/poppyway/state/impl/rollout_state.h
@@ -12,23 +12,25 @@
 /// \brief True until the roll-out is completed or rolled back.
 [[nodiscard]] bool IsRolloutActive(const wire::Rollout& rollout) noexcept;
 
-/// \brief An operator's order. A pool has at most one roll-out under way; its end is remembered
-/// until the next order.
-/// \return whether it begins, is under way already, or another one is and nothing changes.
+/// \brief Applies an operator's order. A pool has at most one active roll-out; an ended one is kept
+/// until the next order. `index` is the order's log index.
+/// \return TAKEN if a roll-out starts; without a change, UNDER_WAY if one to the same version is
+/// active, OTHER_UNDER_WAY if one to another version is.
 [[nodiscard]] wire::RolloutVerdict::type ApplyRolloutOrder(HostedState& state,
                                                            const wire::RolloutOrder& order,
                                                            std::int64_t index);
 
-/// \brief The leader's word on a roll-out: how far it is, or its next stage. Without effect for one
-/// of another number, one that has ended, or a stage that lies behind: a decision is made once.
+/// \brief Applies the leader's report on a roll-out: its progress or its next stage. Ignored if the
+/// number isn't the active roll-out's or the stage is an earlier one, so that each decision is made
+/// once.
 void ApplyRolloutStep(HostedState& state, const wire::RolloutStep& step, std::int64_t index);
 
-/// \brief True if a roll-out under way keeps the server from ordinary work: the target version
-/// during the trial, every other one while work moves.
-[[nodiscard]] bool HeldBack(const HostedState& state, const wire::ServerRecord& server);
+/// \brief True if an active roll-out excludes the server from ordinary requests: during the trial
+/// servers of the target version, while requests move all others.
+[[nodiscard]] bool IsHeldBack(const HostedState& state, const wire::ServerRecord& server);
 
-/// \brief True if the pool's last roll-out was rolled back and the server is of its target version:
-/// such a server, however late it appears, gets no work.
-[[nodiscard]] bool RolledBack(const HostedState& state, const wire::ServerRecord& server);
+/// \brief True if the pool's last roll-out was rolled back and the server has its target version.
+/// Such a server gets no requests, even if it registers after the roll-back.
+[[nodiscard]] bool IsRolledBack(const HostedState& state, const wire::ServerRecord& server);
 
 }  // namespace poppyway
--- a/packages/state/include/poppyway/state/impl/state_machine.h
+++ b/packages/state/include/poppyway/state/impl/state_machine.h
@@ -11,24 +11,25 @@
 
 namespace poppyway {
 
-/// \brief All replicated state.
+/// \brief All replicated state of a member.
 struct StateMachine {
   Configuration m_configuration;
   DispatchLedger m_ledger;
   HostedState m_hosted;
   std::map<std::string, wire::LeaseGrant> m_leases;  ///< By lease name.
-  std::int64_t m_leases_index = 0;                   ///< Log index at which they last changed.
+  std::int64_t m_leases_index = 0;                   ///< Log index of their last change.
   std::int64_t m_applied_index = 0;                  ///< Index of the last applied entry.
 };
 
-/// \brief Applies one committed entry. Precondition: it follows the last one applied.
+/// \brief Applies one committed entry.
+/// \pre `entry` directly follows the last applied one.
 [[nodiscard]] wire::CommandResult ApplyEntry(StateMachine& machine, const wire::LogEntry& entry);
 
-/// \brief The whole state as bytes, for a snapshot.
+/// \brief Serialises the state for a snapshot.
 [[nodiscard]] std::string SerializeStateMachine(const StateMachine& machine);
 
 /// \brief Replaces the state by a snapshot's.
-/// \return `kDataDamaged` if the bytes can't be read.
+/// \return `kDataDamaged` if the snapshot can't be decoded; the state is then unspecified.
 [[nodiscard]] Result<void> RestoreStateMachine(StateMachine& machine,
                                                const wire::Snapshot& snapshot);
 
--- a/packages/state/include/poppyway/state/impl/text_edits.h
+++ b/packages/state/include/poppyway/state/impl/text_edits.h
@@ -9,15 +9,15 @@
 
 namespace poppyway {
 
-/// \brief How `base` becomes `target`, packed. Its size follows what differs, wherever that stands,
-/// not the size of the texts. Knows nothing of the texts' format. The same texts give the same
-/// bytes.
+/// \brief Encodes the edits that turn `base` into `target`, compressed. Their size depends on what
+/// differs, at any position, rather than on the size of the texts. The texts may have any format.
+/// Equal texts give equal bytes.
 [[nodiscard]] std::string EncodeEdits(std::string_view base, std::string_view target);
 
-/// \brief The text that `EncodeEdits` was given as its target.
-/// \param most bytes that the text may have.
-/// \return `kPeerProtocol` if `edits` can't be read, copy what `base` doesn't have, or make a
-/// larger text.
+/// \brief Applies edits from `EncodeEdits` to their base.
+/// \param most largest size of the resulting text, in bytes.
+/// \return the target text; `kPeerProtocol` if `edits` can't be decoded, copy from outside `base`,
+/// or lead to a larger text.
 [[nodiscard]] Result<std::string> ApplyEdits(std::string_view base,
                                              std::string_view edits,
                                              std::size_t most);
--- a/packages/state/src/configuration.cc
+++ b/packages/state/src/configuration.cc
@@ -23,7 +23,7 @@
   return static_cast<std::int64_t>(Hash(Serialize(content)));
 }
 
-wire::ConfigOutcome Outcome(ResultCode code, std::int64_t version, std::string message) {
+wire::ConfigOutcome MakeOutcome(ResultCode code, std::int64_t version, std::string message) {
   wire::ConfigOutcome outcome;
   outcome.code = static_cast<std::int32_t>(code);
   outcome.version = version;
@@ -35,9 +35,9 @@
   return {object.kind, object.name, object.body};
 }
 
-/// The declarations as they would stand after the change.
-Result<ParsedDeclarations> Preview(const Configuration& configuration,
-                                   const wire::ConfigChange& change) {
+/// Returns the declarations that would result from the change; an error if they don't compile.
+Result<ParsedDeclarations> PreviewChange(const Configuration& configuration,
+                                         const wire::ConfigChange& change) {
   ParsedDeclarations parsed = configuration.m_parsed;
   for (const wire::ObjectKey& key : change.removals)
     RemoveDeclaration(parsed, key.kind, key.name);
@@ -59,23 +59,23 @@
   state.outcome = outcome;
   configuration.m_changes[change.change_id] = std::move(state);
   configuration.m_change_order.push_back(change.change_id);
-  while (configuration.m_change_order.size() > kRememberedChanges) {
+  while (configuration.m_change_order.size() > kMaxRememberedChanges) {
     configuration.m_changes.erase(configuration.m_change_order.front());
     configuration.m_change_order.pop_front();
   }
 }
 
-void ForgetOldRemovals(Configuration& configuration) {
-  while (configuration.m_removals.size() > kRememberedRemovals) {
+void TrimRemovals(Configuration& configuration) {
+  while (configuration.m_removals.size() > kMaxRememberedRemovals) {
     const auto oldest =
         std::min_element(configuration.m_removals.begin(), configuration.m_removals.end(),
                          [](const auto& a, const auto& b) { return a.second < b.second; });
-    configuration.m_whole_before = std::max(configuration.m_whole_before, oldest->second);
+    configuration.m_full_before = std::max(configuration.m_full_before, oldest->second);
     configuration.m_removals.erase(oldest);
   }
 }
 
-void Accept(Configuration& configuration, const wire::ConfigChange& change) {
+void AcceptChange(Configuration& configuration, const wire::ConfigChange& change) {
   const std::int64_t version = ++configuration.m_version;
   for (const wire::ObjectKey& key : change.removals) {
     if (configuration.m_objects.erase(NameOf(key)) > 0)
@@ -87,7 +87,7 @@
     state.version = version;
     configuration.m_removals.erase(NameOf(object));
   }
-  ForgetOldRemovals(configuration);
+  TrimRemovals(configuration);
   wire::HistoryRow row;
   row.version = version;
   row.change_id = change.change_id;
@@ -95,7 +95,7 @@
   row.upserts = static_cast<std::int32_t>(change.upserts.size());
   row.removals = static_cast<std::int32_t>(change.removals.size());
   configuration.m_history.push_back(std::move(row));
-  if (configuration.m_history.size() > kRememberedChanges)
+  if (configuration.m_history.size() > kMaxRememberedChanges)
     configuration.m_history.pop_front();
 }
 
@@ -115,21 +115,22 @@
   if (known != configuration.m_changes.end()) {
     if (known->second.fingerprint == Fingerprint(change))
       return known->second.outcome;
-    return Outcome(ResultCode::kVersionConflict, configuration.m_version,
-                   "change id '" + change.change_id + "' names another change");
+    return MakeOutcome(ResultCode::kVersionConflict, configuration.m_version,
+                       "change id '" + change.change_id + "' names another change");
   }
   if (change.base_version != configuration.m_version) {
-    return Outcome(ResultCode::kVersionConflict, configuration.m_version,
-                   "made on version " + std::to_string(change.base_version) + ", but version " +
-                       std::to_string(configuration.m_version) +
-                       " was accepted since; look at it and apply again");
+    return MakeOutcome(ResultCode::kVersionConflict, configuration.m_version,
+                       "made on version " + std::to_string(change.base_version) + ", but version " +
+                           std::to_string(configuration.m_version) +
+                           " was accepted since; look at it and apply again");
   }
-  Result<ParsedDeclarations> next = Preview(configuration, change);
+  Result<ParsedDeclarations> next = PreviewChange(configuration, change);
   if (!next)
-    return Outcome(next.error().m_code, configuration.m_version, next.error().m_message);
+    return MakeOutcome(next.error().m_code, configuration.m_version, next.error().m_message);
   configuration.m_parsed = std::move(*next);
-  Accept(configuration, change);
-  const wire::ConfigOutcome outcome = Outcome(ResultCode::kOk, configuration.m_version, "accepted");
+  AcceptChange(configuration, change);
+  const wire::ConfigOutcome outcome =
+      MakeOutcome(ResultCode::kOk, configuration.m_version, "accepted");
   Remember(configuration, change, outcome);
   return outcome;
 }
@@ -138,7 +139,7 @@
   wire::ConfigDelta delta;
   delta.from_version = from_version;
   delta.to_version = configuration.m_version;
-  delta.whole = from_version < configuration.m_whole_before ||
+  delta.whole = from_version < configuration.m_full_before ||
                 from_version > configuration.m_version || from_version == 0;
   for (const auto& [name, state] : configuration.m_objects) {
     if (delta.whole || state.version > from_version)
--- a/packages/state/src/dispatch_ledger.cc
+++ b/packages/state/src/dispatch_ledger.cc
@@ -8,23 +8,23 @@
 namespace {
 
 void DropAnswer(DispatchLedger& ledger, wire::KeyRecord& record) {
-  if (ledger.m_kept.erase({record.expires_ms, record.key}) == 0)
+  if (ledger.m_stored_answers.erase({record.expires_ms, record.key}) == 0)
     return;
   ledger.m_stored_answer_bytes -= record.answer.body.size();
   record.answer.body.clear();
   record.answer.kept = false;
 }
 
-void KeepAnswer(DispatchLedger& ledger, wire::KeyRecord& record) {
+void StoreAnswer(DispatchLedger& ledger, wire::KeyRecord& record) {
   if (!record.answer.kept)
     return;
-  ledger.m_kept.insert({record.expires_ms, record.key});
+  ledger.m_stored_answers.insert({record.expires_ms, record.key});
   ledger.m_stored_answer_bytes += record.answer.body.size();
-  while (ledger.m_stored_answer_bytes > kMaxKeptBytes)
-    DropAnswer(ledger, ledger.m_keys.at(ledger.m_kept.begin()->second));
+  while (ledger.m_stored_answer_bytes > kMaxStoredAnswerBytes)
+    DropAnswer(ledger, ledger.m_keys.at(ledger.m_stored_answers.begin()->second));
 }
 
-void StopRunning(DispatchLedger& ledger, const wire::KeyRecord& record) {
+void RemoveRunning(DispatchLedger& ledger, const wire::KeyRecord& record) {
   const auto owner = ledger.m_running_by_owner.find(record.owner);
   if (owner == ledger.m_running_by_owner.end())
     return;
@@ -39,7 +39,7 @@
     return;
   wire::KeyRecord& record = found->second;
   DropAnswer(ledger, record);
-  StopRunning(ledger, record);
+  RemoveRunning(ledger, record);
   ledger.m_by_expiry.erase({record.expires_ms, record.key});
   ledger.m_keys.erase(found);
 }
@@ -50,24 +50,24 @@
   if (record.state == wire::KeyState::RUNNING)
     ledger.m_running_by_owner[record.owner].insert(key);
   wire::KeyRecord& stored = ledger.m_keys[key] = std::move(record);
-  KeepAnswer(ledger, stored);
+  StoreAnswer(ledger, stored);
 }
 
-void Expire(DispatchLedger& ledger, std::int64_t now_ms) {
+void ExpireKeys(DispatchLedger& ledger, std::int64_t now_ms) {
   ledger.m_now_ms = std::max(ledger.m_now_ms, now_ms);
   while (!ledger.m_by_expiry.empty() && ledger.m_by_expiry.begin()->first <= ledger.m_now_ms)
     EraseKey(ledger, std::string(ledger.m_by_expiry.begin()->second));
 }
 
-wire::ClaimResult Verdict(wire::ClaimVerdict::type verdict) {
+wire::ClaimResult MakeClaimResult(wire::ClaimVerdict::type verdict) {
   wire::ClaimResult result;
   result.verdict = verdict;
   return result;
 }
 
-wire::ClaimResult Grant(DispatchLedger& ledger, const wire::LedgerClaim& claim) {
+wire::ClaimResult GrantClaim(DispatchLedger& ledger, const wire::LedgerClaim& claim) {
   if (ledger.m_keys.size() >= kMaxKeys)
-    return Verdict(wire::ClaimVerdict::UNAVAILABLE);
+    return MakeClaimResult(wire::ClaimVerdict::UNAVAILABLE);
   wire::KeyRecord record;
   record.key = claim.key;
   record.owner = claim.owner;
@@ -76,15 +76,15 @@
   record.state = wire::KeyState::RUNNING;
   record.expires_ms = ledger.m_now_ms + claim.retention_ms;
   InsertKey(ledger, std::move(record));
-  return Verdict(wire::ClaimVerdict::GRANTED);
+  return MakeClaimResult(wire::ClaimVerdict::GRANTED);
 }
 
-/// An owner that was taken for gone asks again for its claim. It dispatches only once it is
-/// granted: while it asks, nothing has run.
-wire::ClaimResult GrantAgain(DispatchLedger& ledger, wire::KeyRecord& record) {
+/// Grants a claim again to an owner that was considered gone and repeats it. An owner dispatches
+/// only after a grant, so nothing has run while it still repeats the claim.
+wire::ClaimResult RegrantClaim(DispatchLedger& ledger, wire::KeyRecord& record) {
   record.state = wire::KeyState::RUNNING;
   ledger.m_running_by_owner[record.owner].insert(record.key);
-  return Verdict(wire::ClaimVerdict::GRANTED);
+  return MakeClaimResult(wire::ClaimVerdict::GRANTED);
 }
 
 bool IsClaimant(const wire::KeyRecord& record, const std::string& owner, std::int64_t ref) {
@@ -94,53 +94,54 @@
 }  // namespace
 
 wire::ClaimResult ApplyClaim(DispatchLedger& ledger, const wire::LedgerClaim& claim) {
-  Expire(ledger, claim.now_ms);
+  ExpireKeys(ledger, claim.now_ms);
   const auto found = ledger.m_keys.find(claim.key);
   if (found == ledger.m_keys.end())
-    return Grant(ledger, claim);
+    return GrantClaim(ledger, claim);
   wire::KeyRecord& record = found->second;
   const bool own = IsClaimant(record, claim.owner, claim.ref);
   if (record.state == wire::KeyState::RELEASED) {
+    // The claimant has given this claim up.
     if (own)
-      return Verdict(wire::ClaimVerdict::UNAVAILABLE);  // Given up already.
+      return MakeClaimResult(wire::ClaimVerdict::UNAVAILABLE);
     EraseKey(ledger, claim.key);
-    return Grant(ledger, claim);
+    return GrantClaim(ledger, claim);
   }
   if (record.fingerprint != claim.fingerprint)
-    return Verdict(wire::ClaimVerdict::KEY_REUSED);
+    return MakeClaimResult(wire::ClaimVerdict::KEY_REUSED);
   switch (record.state) {
     case wire::KeyState::RUNNING:
-      return Verdict(own ? wire::ClaimVerdict::GRANTED : wire::ClaimVerdict::RUNNING);
+      return MakeClaimResult(own ? wire::ClaimVerdict::GRANTED : wire::ClaimVerdict::RUNNING);
     case wire::KeyState::DONE: {
-      wire::ClaimResult result = Verdict(wire::ClaimVerdict::DONE);
+      wire::ClaimResult result = MakeClaimResult(wire::ClaimVerdict::DONE);
       result.answer = record.answer;
       return result;
     }
     case wire::KeyState::UNKNOWN:
       if (own)
-        return GrantAgain(ledger, record);
+        return RegrantClaim(ledger, record);
       if (!claim.rerun_unknown)
-        return Verdict(wire::ClaimVerdict::UNKNOWN);
+        return MakeClaimResult(wire::ClaimVerdict::UNKNOWN);
       EraseKey(ledger, claim.key);
-      return Grant(ledger, claim);
+      return GrantClaim(ledger, claim);
     case wire::KeyState::RELEASED:
       break;
   }
-  return Verdict(wire::ClaimVerdict::UNKNOWN);
+  return MakeClaimResult(wire::ClaimVerdict::UNKNOWN);
 }
 
 void ApplyFinish(DispatchLedger& ledger, const wire::LedgerFinish& finish) {
   const auto found = ledger.m_keys.find(finish.key);
-  const bool ours =
+  const bool is_claimant =
       found != ledger.m_keys.end() && IsClaimant(found->second, finish.owner, finish.ref);
   const bool missing = found == ledger.m_keys.end();
-  if (!ours && !(missing && finish.kind == wire::FinishKind::NOT_RUN))
+  if (!is_claimant && !(missing && finish.kind == wire::FinishKind::NOT_RUN))
     return;
   wire::KeyRecord record;
-  if (ours)
+  if (is_claimant)
     record = found->second;
-  if (ours && record.state == wire::KeyState::DONE)
-    return;  // A repeated message.
+  if (is_claimant && record.state == wire::KeyState::DONE)
+    return;  // The message is a duplicate.
   EraseKey(ledger, finish.key);
   record.key = finish.key;
   record.owner = finish.owner;
@@ -152,18 +153,18 @@
       break;
     case wire::FinishKind::UNKNOWN:
       record.state = wire::KeyState::UNKNOWN;
-      record.owner.clear();  // A late copy of its claim is no claimant any more.
+      record.owner.clear();  // A late duplicate of the claim must not match.
       break;
     case wire::FinishKind::NOT_RUN:
-      // The key is free for others; only the late twin of this claim is kept out.
+      // Others may claim the key; only a late duplicate of this claim is rejected.
       record.state = wire::KeyState::RELEASED;
-      record.expires_ms = ledger.m_now_ms + kReleasedMs;
+      record.expires_ms = ledger.m_now_ms + kReleasedClaimRetentionMs;
       break;
   }
   InsertKey(ledger, std::move(record));
 }
 
-void ApplyGone(DispatchLedger& ledger, const std::string& owner) {
+void ApplyInstanceGone(DispatchLedger& ledger, const std::string& owner) {
   const auto running = ledger.m_running_by_owner.find(owner);
   if (running == ledger.m_running_by_owner.end())
     return;
@@ -172,7 +173,7 @@
   ledger.m_running_by_owner.erase(running);
 }
 
-std::vector<wire::KeyRecord> SaveLedger(const DispatchLedger& ledger) {
+std::vector<wire::KeyRecord> SerializeLedger(const DispatchLedger& ledger) {
   std::vector<wire::KeyRecord> keys;
   keys.reserve(ledger.m_keys.size());
   for (const auto& [expiry, key] : ledger.m_by_expiry)
@@ -180,7 +181,7 @@
   return keys;
 }
 
-void LoadLedger(DispatchLedger& ledger, const wire::MachineState& state) {
+void RestoreLedger(DispatchLedger& ledger, const wire::MachineState& state) {
   ledger = {};
   ledger.m_now_ms = state.now_ms;
   for (const wire::KeyRecord& record : state.keys)
--- a/packages/state/src/evacuation_state.cc
+++ b/packages/state/src/evacuation_state.cc
@@ -29,7 +29,7 @@
   evacuation.ended = order.ends;
   evacuation.index = index;
   state.m_evacuations[order.data_centre] = evacuation;
-  // Instances learn of it as of a change of servers: the whole list goes with each answer.
+  // A new servers index completes the instances' polls; each reply holds all evacuations.
   state.m_servers_index = index;
 }
 
--- a/packages/state/src/hosted_state.cc
+++ b/packages/state/src/hosted_state.cc
@@ -8,8 +8,8 @@
 namespace poppyway {
 namespace {
 
-/// Forgets the gone server that changed longest ago once too many are remembered.
-void ForgetOldest(HostedState& state) {
+/// Erases the gone server with the oldest change if too many gone servers are remembered.
+void EraseOldestGone(HostedState& state) {
   std::size_t gone = 0;
   auto oldest = state.m_servers.end();
   for (auto it = state.m_servers.begin(); it != state.m_servers.end(); ++it) {
@@ -19,33 +19,36 @@
     if (oldest == state.m_servers.end() || it->second.index < oldest->second.index)
       oldest = it;
   }
-  if (gone > kRememberedGone)
+  if (gone > kMaxGoneServers)
     state.m_servers.erase(oldest);
 }
 
-bool SamePlace(const wire::ServerRecord& a, const wire::ServerRecord& b) {
+bool SameRegistration(const wire::ServerRecord& a, const wire::ServerRecord& b) {
   return a.pool == b.pool && a.address == b.address && a.port == b.port && a.slots == b.slots &&
          a.version == b.version && a.data_centre == b.data_centre;
 }
 
-/// What a record says of a server's life beside the one that is known.
-enum class Life : std::uint8_t {
-  kSame,     ///< Or it doesn't tell: the order by stage and sequence holds.
-  kEarlier,  ///< Late news.
+/// How the process start time of a record relates to that of the known server.
+enum class StartTimeOrder : std::uint8_t {
+  kSame,     ///< Equal or not reported: records are ordered by stage and sequence.
+  kEarlier,  ///< The record is stale.
   kLater,
 };
 
-Life LifeOf(const wire::ServerRecord& known, const wire::ServerRecord& record) {
+StartTimeOrder CompareStartTimes(const wire::ServerRecord& known,
+                                 const wire::ServerRecord& record) {
   if (record.born <= 0 || record.born == known.born)
-    return Life::kSame;
+    return StartTimeOrder::kSame;
   if (known.born > 0)
-    return record.born > known.born ? Life::kLater : Life::kEarlier;
-  // The first birth that is told: of the server that works, or late news of one that has left.
-  return known.stage == wire::ServerStage::READY ? Life::kLater : Life::kEarlier;
+    return record.born > known.born ? StartTimeOrder::kLater : StartTimeOrder::kEarlier;
+  // The first start time reported: a READY server adopts it; for a server that has left, the record
+  // is stale.
+  return known.stage == wire::ServerStage::READY ? StartTimeOrder::kLater
+                                                 : StartTimeOrder::kEarlier;
 }
 
-/// Takes a record of the life that is known.
-void Update(wire::ServerRecord& known, const wire::ServerRecord& record) {
+/// Applies a record of the known process.
+void UpdateServer(wire::ServerRecord& known, const wire::ServerRecord& record) {
   const std::int64_t sequence = std::max(known.sequence, record.sequence);
   const std::int64_t started_ms = std::max(known.born, record.born);
   const bool named = !record.pool.empty();
@@ -81,17 +84,17 @@
   if (found == state.m_servers.end())
     return true;
   const wire::ServerRecord& known = found->second;
-  const Life life = LifeOf(known, record);
-  if (life != Life::kSame)
-    return life == Life::kLater;
+  const StartTimeOrder order = CompareStartTimes(known, record);
+  if (order != StartTimeOrder::kSame)
+    return order == StartTimeOrder::kLater;
   const bool late = record.sequence != 0 && record.sequence < known.sequence;
   if (record.stage < known.stage)
-    return false;  // Stages only move towards GONE within one life.
+    return false;  // Stages only move towards GONE within one process.
   if (record.stage > known.stage)
     return true;
   if (late || record.stage == wire::ServerStage::GONE)
     return false;
-  return !SamePlace(known, record) || (known.cold_for_ms > 0) != (record.cold_for_ms > 0);
+  return !SameRegistration(known, record) || (known.cold_for_ms > 0) != (record.cold_for_ms > 0);
 }
 
 bool ChangesColdTime(const HostedState& state, const wire::ServerRecord& record) {
@@ -100,26 +103,26 @@
     return true;
   const wire::ServerRecord& known = found->second;
   const bool late = record.sequence != 0 && record.sequence < known.sequence;
-  const bool same_life = LifeOf(known, record) == Life::kSame && record.stage == known.stage &&
-                         record.stage != wire::ServerStage::GONE;
-  return same_life && !late && record.cold_for_ms != known.cold_for_ms;
+  const bool same_process = CompareStartTimes(known, record) == StartTimeOrder::kSame &&
+                            record.stage == known.stage && record.stage != wire::ServerStage::GONE;
+  return same_process && !late && record.cold_for_ms != known.cold_for_ms;
 }
 
 void ApplyServer(HostedState& state, const wire::ServerRecord& record, std::int64_t index) {
   if (!ChangesServer(state, record) && !ChangesColdTime(state, record))
     return;
   wire::ServerRecord& known = state.m_servers[record.id];
-  if (LifeOf(known, record) == Life::kLater)
-    known = record;  // Its counts start anew.
+  if (CompareStartTimes(known, record) == StartTimeOrder::kLater)
+    known = record;  // The sequence numbers of a new process start over.
   else
-    Update(known, record);
+    UpdateServer(known, record);
   known.index = index;
-  known.held_back = HeldBack(state, known);
-  if (known.stage == wire::ServerStage::READY && RolledBack(state, known))
+  known.held_back = IsHeldBack(state, known);
+  if (known.stage == wire::ServerStage::READY && IsRolledBack(state, known))
     known.stage = wire::ServerStage::LEAVING;
   state.m_servers_index = index;
   if (known.stage == wire::ServerStage::GONE)
-    ForgetOldest(state);
+    EraseOldestGone(state);
 }
 
 bool ExceedsUnlistedPoolLimit(const HostedState& state,
@@ -132,7 +135,7 @@
     return server.stage != wire::ServerStage::GONE && !named.contains(server.pool);
   };
   if (known != state.m_servers.end() && counts(known->second))
-    return false;  // It is kept already.
+    return false;  // The server is counted already.
   const auto kept = std::count_if(state.m_servers.begin(), state.m_servers.end(),
                                   [&counts](const auto& entry) { return counts(entry.second); });
   return static_cast<std::size_t>(kept) >= kMaxUnlistedPoolServers;
--- a/packages/state/src/instance_table.cc
+++ b/packages/state/src/instance_table.cc
@@ -8,7 +8,7 @@
 namespace poppyway {
 namespace {
 
-/// The willing instance with the highest rendezvous hash for this lease.
+/// Returns the instance that isn't stopping with the highest rendezvous hash for this lease.
 const InstanceRecord* ChooseHolder(const InstanceTable& table, const std::string& lease) {
   const InstanceRecord* best = nullptr;
   std::uint64_t highest = 0;
@@ -34,19 +34,19 @@
   return table;
 }
 
-void RecordHeartbeat(InstanceTable& table, const wire::Heartbeat& beat, Instant now) {
+void RecordHeartbeat(InstanceTable& table, const wire::Heartbeat& heartbeat, Instant now) {
   for (auto it = table.m_live.begin(); it != table.m_live.end();) {
-    const bool former =
-        it->second.m_heartbeat.instance == beat.instance && it->first != beat.incarnation;
-    if (!former) {
+    const bool ended =
+        it->second.m_heartbeat.instance == heartbeat.instance && it->first != heartbeat.incarnation;
+    if (!ended) {
       ++it;
       continue;
     }
     table.m_ended_incarnations.insert(it->first);
     it = table.m_live.erase(it);
   }
-  table.m_live[beat.incarnation] = {beat, now};
-  table.m_ended_incarnations.erase(beat.incarnation);
+  table.m_live[heartbeat.incarnation] = {heartbeat, now};
+  table.m_ended_incarnations.erase(heartbeat.incarnation);
 }
 
 void ExpireInstances(InstanceTable& table,
@@ -73,7 +73,8 @@
                                               const std::vector<std::string>& leases,
                                               const std::map<std::string, wire::LeaseGrant>& held,
                                               Instant now) {
-  const bool predecessor_over = now - table.m_leading_since >= table.m_lease + table.m_margin;
+  const bool predecessor_lease_expired =
+      now - table.m_leading_since >= table.m_lease + table.m_margin;
   std::vector<wire::LeaseGrant> due;
   for (const std::string& lease : leases) {
     const auto present = held.find(lease);
@@ -82,8 +83,8 @@
     const bool holder_lives = holder != table.m_live.end();
     if (holder_lives && !holder->second.m_heartbeat.stopping)
       continue;
-    // An unheard holder may still act on its lease, unless it said itself that it stops.
-    if (granted && !holder_lives && !predecessor_over)
+    // A holder without heartbeats may still act on its lease; one that is stopping has given it up.
+    if (granted && !holder_lives && !predecessor_lease_expired)
       continue;
     const InstanceRecord* chosen = ChooseHolder(table, lease);
     if (chosen == nullptr)
--- a/packages/state/src/rollout_state.cc
+++ b/packages/state/src/rollout_state.cc
@@ -16,15 +16,15 @@
   return last + 1;
 }
 
-/// What the roll-out's stage says of a server's own.
+/// Sets a server's stage and `held_back` as its pool's roll-out requires.
 void RefreshServer(const HostedState& state, wire::ServerRecord& server) {
-  server.held_back = HeldBack(state, server);
+  server.held_back = IsHeldBack(state, server);
   if (server.stage != wire::ServerStage::READY)
     return;
   const wire::Rollout& rollout = state.m_rollouts.at(server.pool);
   const bool target = server.version == rollout.target;
   const bool replaced = rollout.stage == Stage::COMPLETED && !target;
-  if (replaced || RolledBack(state, server))
+  if (replaced || IsRolledBack(state, server))
     server.stage = wire::ServerStage::LEAVING;
 }
 
@@ -85,7 +85,7 @@
   RefreshServers(state, step.pool, index);
 }
 
-bool HeldBack(const HostedState& state, const wire::ServerRecord& server) {
+bool IsHeldBack(const HostedState& state, const wire::ServerRecord& server) {
   const auto rollout = state.m_rollouts.find(server.pool);
   if (rollout == state.m_rollouts.end() || !IsRolloutActive(rollout->second))
     return false;
@@ -93,7 +93,7 @@
   return target == (rollout->second.stage == Stage::TRIAL);
 }
 
-bool RolledBack(const HostedState& state, const wire::ServerRecord& server) {
+bool IsRolledBack(const HostedState& state, const wire::ServerRecord& server) {
   const auto rollout = state.m_rollouts.find(server.pool);
   return rollout != state.m_rollouts.end() && rollout->second.stage == Stage::ROLLED_BACK &&
          server.version == rollout->second.target;
--- a/packages/state/src/state_machine.cc
+++ b/packages/state/src/state_machine.cc
@@ -36,7 +36,7 @@
     else if (command.__isset.lease)
       ApplyLease(machine, command.lease, entry.index);
     else if (command.__isset.gone)
-      ApplyGone(machine.m_ledger, command.gone.incarnation);
+      ApplyInstanceGone(machine.m_ledger, command.gone.incarnation);
     else if (command.__isset.document)
       ApplyDocument(machine.m_hosted, command.document);
     else if (command.__isset.server)
@@ -63,11 +63,11 @@
     removal.version = version;
     state.removals.push_back(std::move(removal));
   }
-  state.whole_before = configuration.m_whole_before;
+  state.whole_before = configuration.m_full_before;
   state.history.assign(configuration.m_history.begin(), configuration.m_history.end());
   for (const std::string& id : configuration.m_change_order)
     state.changes.push_back(configuration.m_changes.at(id));
-  state.keys = SaveLedger(machine.m_ledger);
+  state.keys = SerializeLedger(machine.m_ledger);
   state.now_ms = machine.m_ledger.m_now_ms;
   for (const auto& [name, lease] : machine.m_leases)
     state.leases.push_back(lease);
@@ -92,7 +92,7 @@
     configuration.m_objects[{object.object.kind, object.object.name}] = object;
   for (const wire::RemovalState& removal : state->removals)
     configuration.m_removals[{removal.key.kind, removal.key.name}] = removal.version;
-  configuration.m_whole_before = state->whole_before;
+  configuration.m_full_before = state->whole_before;
   configuration.m_history.assign(state->history.begin(), state->history.end());
   for (const wire::ChangeState& change : state->changes) {
     configuration.m_changes[change.change_id] = change;
@@ -100,7 +100,7 @@
   }
   if (Result<void> parsed = ParseObjects(configuration); !parsed)
     return Fail(ResultCode::kDataDamaged, "snapshot: " + parsed.error().m_message);
-  LoadLedger(machine.m_ledger, *state);
+  RestoreLedger(machine.m_ledger, *state);
   for (const wire::LeaseGrant& lease : state->leases)
     machine.m_leases[lease.lease] = lease;
   machine.m_leases_index = snapshot.index;
--- a/packages/state/src/text_edits.cc
+++ b/packages/state/src/text_edits.cc
@@ -9,21 +9,24 @@
 namespace poppyway {
 namespace {
 
-constexpr std::size_t kBlock = 32;  // Bytes; shorter runs that both texts have aren't looked for.
-constexpr std::uint64_t kRadix = 0x9E3779B97F4A7C15;
-// Room for the edits themselves, beside the bytes that they add: a few bytes for each block.
+constexpr std::size_t kBlock = 32;  // Bytes; shorter common runs aren't searched for.
+constexpr std::uint64_t kMultiplier = 0x9E3779B97F4A7C15;  // 2^64 divided by the golden ratio.
+// Allowance for the encoding of the edits, beside the bytes that they insert.
 constexpr std::size_t kEditsOverhead = 4096;
 
-/// Polynomial hash of the last `kBlock` bytes that were added.
+/// Polynomial hash of a window of `kBlock` bytes.
 class RollingHash {
  public:
   explicit RollingHash(std::string_view block) {
     for (const char byte : block)
-      m_value = m_value * kRadix + Value(byte);
+      m_value = m_value * kMultiplier + Value(byte);
     for (std::size_t i = 1; i < kBlock; ++i)
-      m_oldest *= kRadix;
+      m_oldest *= kMultiplier;
+  }
+  /// Moves the window by one byte: `out` leaves it, `in` enters it.
+  void Roll(char out, char in) {
+    m_value = (m_value - m_oldest * Value(out)) * kMultiplier + Value(in);
   }
-  void Move(char out, char in) { m_value = (m_value - m_oldest * Value(out)) * kRadix + Value(in); }
   [[nodiscard]] std::uint64_t value() const noexcept { return m_value; }
 
  private:
@@ -33,8 +36,8 @@
   std::uint64_t m_oldest = 1;
 };
 
-/// Where each block of a text stands, for those that stand in it once: what a format repeats, like
-/// the names of fields, would lead to any of its places.
+/// Index of the blocks of a text that occur in it once. Repeated blocks, such as the field names of
+/// a format, are left out: they would match at an arbitrary occurrence.
 class BlockIndex {
  public:
   explicit BlockIndex(std::string_view text) : m_text(text) {
@@ -46,7 +49,7 @@
       Add(at);
   }
 
-  /// The place of the block `bytes`, whose hash is given; npos if there is none.
+  /// Returns the offset of the block `bytes`, whose hash is given; npos if it isn't indexed.
   [[nodiscard]] std::size_t Find(std::string_view bytes, std::uint64_t hash) const {
     const Slot& slot = m_slots[SlotOf(hash, bytes)];
     return slot.m_used && !slot.m_repeated ? slot.m_at : std::string_view::npos;
@@ -69,9 +72,9 @@
       slot = {hash, static_cast<std::uint32_t>(at), true, false};
   }
 
-  /// The slot of this block, or the free one for it.
+  /// Returns the slot that holds this block, or the free slot in which it belongs.
   [[nodiscard]] std::size_t SlotOf(std::uint64_t hash, std::string_view block) const {
-    constexpr int kShift = 20;  // The low bits of a polynomial hash are the weakest.
+    constexpr int kShift = 20;  // Mixes in high bits: the low bits of a polynomial hash are weak.
     std::size_t number = (hash ^ (hash >> kShift)) % m_slots.size();
     while (m_slots[number].m_used && !Holds(m_slots[number], hash, block))
       number = (number + 1) % m_slots.size();
@@ -86,14 +89,14 @@
   std::vector<Slot> m_slots;
 };
 
-/// A run that both texts have.
+/// A run of bytes that both texts contain: an offset in each, and the length.
 struct Match {
   std::size_t m_base = 0;
   std::size_t m_target = 0;
   std::size_t m_length = 0;
 };
 
-/// The longest run around a block that stands at `match` in both, not before `from` in the target.
+/// Extends a match in both directions, but not before offset `from` of the target.
 Match Extend(std::string_view base, std::string_view target, Match match, std::size_t from) {
   while (match.m_base > 0 && match.m_target > from &&
          base[match.m_base - 1] == target[match.m_target - 1]) {
@@ -108,11 +111,12 @@
   return match;
 }
 
-/// The next run that stands in both texts, from `from` on in the target; of no length at the end.
-Match NextMatch(const BlockIndex& index,
-                std::string_view base,
-                std::string_view target,
-                std::size_t from) {
+/// Returns the next common run at or after offset `from` of the target; of length 0 if there is
+/// none.
+Match FindNextMatch(const BlockIndex& index,
+                    std::string_view base,
+                    std::string_view target,
+                    std::size_t from) {
   if (from + kBlock > target.size())
     return {0, target.size(), 0};
   RollingHash hash(target.substr(from, kBlock));
@@ -122,24 +126,25 @@
       return Extend(base, target, {found, at, kBlock}, from);
     if (at + kBlock == target.size())
       return {0, target.size(), 0};
-    hash.Move(target[at], target[at + kBlock]);
+    hash.Roll(target[at], target[at + kBlock]);
   }
 }
 
-/// The run that both texts begin with.
-Match FirstMatch(std::string_view base, std::string_view target) {
+/// Returns the common prefix of both texts.
+Match MatchPrefix(std::string_view base, std::string_view target) {
   return Extend(base, target, {}, 0);
 }
 
-/// Appends what an edit makes; false if the base doesn't have it or the text grows too large.
+/// Appends the result of an edit; false if it copies from outside `base` or `text` would exceed
+/// `most` bytes.
 bool AppendEdit(std::string& text,
                 std::string_view base,
                 const wire::TextEdit& edit,
                 std::size_t most) {
-  const bool sound = edit.offset >= 0 && edit.length >= 0 &&
+  const bool valid = edit.offset >= 0 && edit.length >= 0 &&
                      edit.offset <= static_cast<std::int64_t>(base.size()) &&
                      edit.length <= static_cast<std::int64_t>(base.size()) - edit.offset;
-  if (!sound)
+  if (!valid)
     return false;
   const auto length = static_cast<std::size_t>(edit.length);
   if (text.size() + length + edit.own.size() > most)
@@ -154,10 +159,10 @@
 std::string EncodeEdits(std::string_view base, std::string_view target) {
   const BlockIndex index(base);
   wire::TextEdits edits;
-  Match match = FirstMatch(base, target);
+  Match match = MatchPrefix(base, target);
   while (true) {
     const std::size_t end = match.m_target + match.m_length;
-    const Match next = NextMatch(index, base, target, end);
+    const Match next = FindNextMatch(index, base, target, end);
     wire::TextEdit& edit = edits.edits.emplace_back();
     edit.offset = static_cast<std::int64_t>(match.m_base);
     edit.length = static_cast<std::int64_t>(match.m_length);
@@ -170,7 +175,7 @@
 }
 
 Result<std::string> ApplyEdits(std::string_view base, std::string_view edits, std::size_t most) {
-  // Each edit takes some bytes itself; as many as there are blocks in the text suffice.
+  // Each edit adds a few bytes of encoding; for one edit a block, twice the text's size suffices.
   const Result<std::string> bytes = Unpack(edits, 2 * most + kEditsOverhead);
   if (!bytes)
     return tl::unexpected<Error>(bytes.error());
@@ -181,7 +186,7 @@
   text.reserve(std::min(most, base.size() + bytes->size()));
   for (const wire::TextEdit& edit : list->edits) {
     if (!AppendEdit(text, base, edit, most))
-      return Fail(ResultCode::kPeerProtocol, "edits that don't fit the text they are for");
+      return Fail(ResultCode::kPeerProtocol, "the edits don't fit the base text");
   }
   return text;
 }
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -79,7 +79,7 @@
   std::int64_t whole_version = 0;
   CHECK(ApplyDelta(whole, whole_version, DeltaSince(configuration, 0)));
   CHECK(*BuildCatalogue(reader, version) == *BuildCatalogue(whole, whole_version));
-  // An old or repeated delta changes nothing.
+  // An old or repeated delta has no effect.
   wire::ConfigDelta old;
   old.whole = true;
   old.to_version = 3;
--- a/tests/dispatch_ledger_test.cc
+++ b/tests/dispatch_ledger_test.cc
@@ -53,17 +53,18 @@
   CHECK(ApplyClaim(ledger, Claim("k", "b", 1)).verdict == Verdict::RUNNING);
 }
 
-// Guards against "outcome unknown" for a request that was never sent anywhere.
+// Guards against "outcome unknown" for a request that was never sent: its owner was considered gone
+// while it still repeated its claim.
 TEST_CASE("an owner that was taken for gone and still asks for its claim is granted it",
           "[ledger]") {
   DispatchLedger ledger;
   (void)ApplyClaim(ledger, Claim("k", "a", 1));
-  ApplyGone(ledger, "a");
+  ApplyInstanceGone(ledger, "a");
   CHECK(ApplyClaim(ledger, Claim("k", "b", 1)).verdict == Verdict::UNKNOWN);
   CHECK(ApplyClaim(ledger, Claim("k", "a", 2)).verdict == Verdict::UNKNOWN);
   CHECK(ApplyClaim(ledger, Claim("k", "a", 1)).verdict == Verdict::GRANTED);
   CHECK(ApplyClaim(ledger, Claim("k", "b", 1)).verdict == Verdict::RUNNING);
-  ApplyGone(ledger, "a");  // It is counted as an owner again.
+  ApplyInstanceGone(ledger, "a");  // The second grant made it a running owner again.
   CHECK(ApplyClaim(ledger, Claim("k", "b", 1)).verdict == Verdict::UNKNOWN);
 }
 
@@ -90,7 +91,7 @@
   ApplyFinish(ledger, Finish("k", "a", 1, wire::FinishKind::NOT_RUN));
   CHECK(ApplyClaim(ledger, Claim("k", "a", 1)).verdict == Verdict::UNAVAILABLE);
   CHECK(ApplyClaim(ledger, Claim("k", "b", 1)).verdict == Verdict::GRANTED);
-  // Given up before the claim itself arrived.
+  // The claim is given up before it arrives.
   ApplyFinish(ledger, Finish("late", "a", 2, wire::FinishKind::NOT_RUN));
   CHECK(ApplyClaim(ledger, Claim("late", "a", 2)).verdict == Verdict::UNAVAILABLE);
 }
@@ -99,10 +100,10 @@
           "[ledger]") {
   DispatchLedger ledger;
   (void)ApplyClaim(ledger, Claim("k", "a", 1));
-  ApplyGone(ledger, "a");
+  ApplyInstanceGone(ledger, "a");
   CHECK(ApplyClaim(ledger, Claim("k", "b", 1, false)).verdict == Verdict::UNKNOWN);
   CHECK(ApplyClaim(ledger, Claim("k", "b", 2, true)).verdict == Verdict::GRANTED);
-  // The first owner was only cut off: its late word no longer counts.
+  // The first owner was only cut off: its late result is ignored.
   ApplyFinish(ledger, Finish("k", "a", 1, wire::FinishKind::DONE, "late"));
   CHECK(ApplyClaim(ledger, Claim("k", "c", 1, false)).verdict == Verdict::RUNNING);
 }
@@ -125,13 +126,13 @@
 TEST_CASE("kept answers are bounded and dropped soonest-expiring first", "[ledger]") {
   DispatchLedger ledger;
   const std::string big(60'000, 'x');
-  const int count = static_cast<int>(kMaxKeptBytes / big.size()) + 50;
+  const int count = static_cast<int>(kMaxStoredAnswerBytes / big.size()) + 50;
   for (int i = 0; i < count; ++i) {
     const std::string key = "k" + std::to_string(i);
     (void)ApplyClaim(ledger, Claim(key, "a", i, false, i));
     ApplyFinish(ledger, Finish(key, "a", i, wire::FinishKind::DONE, big));
   }
-  CHECK(ledger.m_stored_answer_bytes <= kMaxKeptBytes);
+  CHECK(ledger.m_stored_answer_bytes <= kMaxStoredAnswerBytes);
   CHECK_FALSE(ApplyClaim(ledger, Claim("k0", "b", 1)).answer.kept);
   CHECK(ApplyClaim(ledger, Claim("k" + std::to_string(count - 1), "b", 1)).answer.kept);
 }
@@ -141,7 +142,7 @@
   std::mt19937_64 random(5);
   for (int round = 0; round < 200; ++round) {
     DispatchLedger ledger;
-    std::map<std::string, std::string> may_have_run;  // Key to claimant.
+    std::map<std::string, std::string> may_have_run;  // Claimant by key.
     for (int step = 0; step < 200; ++step) {
       const std::string key = "k" + std::to_string(random() % 4);
       const std::string owner = "g" + std::to_string(random() % 3);
@@ -162,7 +163,7 @@
           }
           break;
         case 3:
-          // Only the claimant itself knows that it did not run.
+          // Only the claimant knows that the request did not run.
           if (may_have_run.contains(key) && may_have_run[key] == claimant &&
               ApplyClaim(ledger, Claim(key, owner, ref)).verdict == Verdict::GRANTED) {
             ApplyFinish(ledger, Finish(key, owner, ref, wire::FinishKind::NOT_RUN));
@@ -170,7 +171,7 @@
           }
           break;
         case 4:
-          ApplyGone(ledger, owner);
+          ApplyInstanceGone(ledger, owner);
           break;
       }
     }
--- a/tests/document_history_test.cc
+++ b/tests/document_history_test.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// The operator's document as steps from one version to the next: what is sent follows what a change
-// alters, and leads to the same bytes everywhere.
+// Changes of the operator's document from one version to another: their size depends on what
+// differs, and every reader arrives at the same bytes.
 #include <catch2/catch.hpp>
 #include <random>
 
@@ -46,7 +46,7 @@
   return document;
 }
 
-/// Versions 1 to `count` of a document, each with a little more at its end.
+/// Returns versions 1 to `count` of a document; each appends some text to the one before.
 std::vector<wire::Document> Versions(int count) {
   std::mt19937_64 random(5);
   std::string body = Join(Routes(random, 400));
@@ -68,8 +68,8 @@
   return history;
 }
 
-/// The text that a reader has after `steps`.
-std::string Follow(wire::Document held, const std::vector<wire::DocumentChange>& steps) {
+/// Returns the text of a reader that held `held` and applied `steps`.
+std::string ApplyAll(wire::Document held, const std::vector<wire::DocumentChange>& steps) {
   for (const wire::DocumentChange& step : steps) {
     Result<wire::Document> next = PatchDocument(held, step);
     REQUIRE(next);
@@ -114,7 +114,8 @@
   }
 }
 
-// A change of a large configuration cost its whole size for each reader.
+// Guards against a small change of a large document that costs each reader the document's full
+// size.
 TEST_CASE("a change costs what it alters, however large the text is") {
   std::mt19937_64 random(31);
   std::vector<std::string> routes = Routes(random, 4000);
@@ -161,7 +162,7 @@
   CHECK(state.m_document.version == 1);
   CHECK(ApplyDocumentChange(state, DiffDocuments(versions[0], versions[2])));
   CHECK(state.m_document.body == versions[2].body);
-  // An older one is taken as well and changes nothing.
+  // A change to an older version is accepted and has no effect.
   CHECK(ApplyDocumentChange(state, DiffDocuments(versions[0], versions[1])));
   CHECK(state.m_document.version == 3);
 }
@@ -182,21 +183,21 @@
   const std::vector<wire::DocumentChange> steps =
       DocumentChangesSince(history, versions.back(), 15);
   CHECK(steps.size() == 5);
-  CHECK(Follow(versions[14], steps) == versions.back().body);
+  CHECK(ApplyAll(versions[14], steps) == versions.back().body);
   CHECK(DocumentChangesSince(history, versions.back(), 20).empty());
 }
 
 TEST_CASE("a reader without a known version gets one whole document and what came after it") {
   const std::vector<wire::Document> versions = Versions(20);
   DocumentHistory history = HistoryOf({versions.begin(), versions.begin() + 10});
-  CHECK(Follow({}, DocumentChangesSince(history, versions[9], 0)) == versions[9].body);
-  const std::int64_t packed = history.m_whole.version;
+  CHECK(ApplyAll({}, DocumentChangesSince(history, versions[9], 0)) == versions[9].body);
+  const std::int64_t packed = history.m_full_change.version;
   for (std::size_t i = 10; i < versions.size(); ++i)
     AppendToHistory(history, DiffDocuments(versions[i - 1], versions[i]));
-  // It isn't made anew with each version.
-  CHECK(Follow(Document(999, "unknown"), DocumentChangesSince(history, versions.back(), 0)) ==
+  // The full document isn't replaced with each version.
+  CHECK(ApplyAll(Document(999, "unknown"), DocumentChangesSince(history, versions.back(), 0)) ==
         versions.back().body);
-  CHECK(history.m_whole.version == packed);
+  CHECK(history.m_full_change.version == packed);
 }
 
 TEST_CASE("steps that don't follow on what is known are not joined to it") {
@@ -204,7 +205,7 @@
   DocumentHistory history = HistoryOf({versions.begin(), versions.begin() + 3});
   AppendToHistory(history, DiffDocuments(versions[6], versions[7]));
   const std::vector<wire::DocumentChange> steps = DocumentChangesSince(history, versions[7], 2);
-  CHECK(Follow(versions[1], steps) == versions[7].body);
+  CHECK(ApplyAll(versions[1], steps) == versions[7].body);
 }
 
 TEST_CASE("what is kept of steps stays within a bound") {
@@ -220,7 +221,7 @@
     held = next;
   }
   CHECK(history.m_bytes <= 1u << 20);
-  CHECK(Follow({}, DocumentChangesSince(history, held, 1)) == held.body);
+  CHECK(ApplyAll({}, DocumentChangesSince(history, held, 1)) == held.body);
 }
 
 }  // namespace
--- a/tests/hosted_state_test.cc
+++ b/tests/hosted_state_test.cc
@@ -86,11 +86,11 @@
 
 TEST_CASE("gone servers are remembered, but not without bound") {
   HostedState state;
-  for (std::size_t i = 0; i < kRememberedGone + 50; ++i)
+  for (std::size_t i = 0; i < kMaxGoneServers + 50; ++i)
     ApplyServer(state, MakeServer(std::to_string(i), wire::ServerStage::GONE, 0),
                 static_cast<std::int64_t>(i) + 1);
-  CHECK(state.m_servers.size() <= kRememberedGone + 1);
-  CHECK(state.m_servers.contains(std::to_string(kRememberedGone + 49)));
+  CHECK(state.m_servers.size() <= kMaxGoneServers + 1);
+  CHECK(state.m_servers.contains(std::to_string(kMaxGoneServers + 49)));
 }
 
 TEST_CASE("document and servers survive a snapshot byte for byte") {
--- a/tests/incarnation_test.cc
+++ b/tests/incarnation_test.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// The registry of backend servers: one that starts again under its id, and late news of its earlier
-// life.
+// The registry of backend servers: a server that restarts under the same id, and late heartbeats of
+// its earlier process.
 #include <catch2/catch.hpp>
 
 #include "poppyway/state.h"
@@ -38,7 +38,7 @@
   return record;
 }
 
-/// A registry that has taken these records, one after the other.
+/// Returns a registry to which these records were applied in turn.
 HostedState After(const std::vector<wire::ServerRecord>& records) {
   HostedState state;
   std::int64_t index = 10;
@@ -112,9 +112,9 @@
   ApplyServer(state, Heartbeat(kFirst, 1), 20);
   CHECK(state.m_servers.at("a").born == kFirst);
   CHECK(state.m_servers.at("a").sequence == 1);
-  wire::ServerRecord untold = Heartbeat(0, 2);
-  untold.slots = 9;
-  ApplyServer(state, untold, 21);
+  wire::ServerRecord without_start_time = Heartbeat(0, 2);
+  without_start_time.slots = 9;
+  ApplyServer(state, without_start_time, 21);
   CHECK(state.m_servers.at("a").slots == 9);
   CHECK(state.m_servers.at("a").born == kFirst);
 }
@@ -155,7 +155,7 @@
   CHECK(ExceedsUnlistedPoolLimit(state, named, server("one more", "elsewhere")));
   CHECK_FALSE(ExceedsUnlistedPoolLimit(state, named, server("one more", "models")));
   CHECK_FALSE(
-      ExceedsUnlistedPoolLimit(state, named, server("u0", "elsewhere")));  // It is kept already.
+      ExceedsUnlistedPoolLimit(state, named, server("u0", "elsewhere")));  // It is counted already.
   CHECK_FALSE(ExceedsUnlistedPoolLimit(state, named, Removal()));
   state.m_servers.at("u0").stage = kGone;
   CHECK_FALSE(ExceedsUnlistedPoolLimit(state, named, server("one more", "nowhere")));
--- a/tests/instance_table_test.cc
+++ b/tests/instance_table_test.cc
@@ -15,12 +15,12 @@
   return Instant(Duration(100'000'000 + millis * 1000));
 }
 
-wire::Heartbeat Beat(const std::string& instance, const std::string& run = "1") {
-  wire::Heartbeat beat;
-  beat.instance = instance;
-  beat.incarnation = instance + "-" + run;
-  beat.stopping = false;
-  return beat;
+wire::Heartbeat MakeHeartbeat(const std::string& instance, const std::string& run = "1") {
+  wire::Heartbeat heartbeat;
+  heartbeat.instance = instance;
+  heartbeat.incarnation = instance + "-" + run;
+  heartbeat.stopping = false;
+  return heartbeat;
 }
 
 std::map<std::string, wire::LeaseGrant> Held(const wire::LeaseGrant& grant) {
@@ -31,15 +31,15 @@
 
 TEST_CASE("a lease moves only after its silent holder has surely stopped acting", "[instances]") {
   InstanceTable table = MakeInstanceTable(kLease, kMargin, At(-10'000));
-  RecordHeartbeat(table, Beat("a"), At(0));
+  RecordHeartbeat(table, MakeHeartbeat("a"), At(0));
   const auto first = PlanLeaseGrants(table, {"pool"}, {}, At(0));
   REQUIRE(first.size() == 1);
-  RecordHeartbeat(table, Beat("b"), At(100));
-  // The holder's last heartbeat was at 0: it may act until 3000, by its own clock.
-  RecordHeartbeat(table, Beat("b"), At(3300));
+  RecordHeartbeat(table, MakeHeartbeat("b"), At(100));
+  // The holder's last heartbeat was at 0, so it may act until 3000 ms by its own clock.
+  RecordHeartbeat(table, MakeHeartbeat("b"), At(3300));
   ExpireInstances(table, {}, At(3400));
   CHECK(PlanLeaseGrants(table, {"pool"}, Held(first[0]), At(3400)).empty());
-  RecordHeartbeat(table, Beat("b"), At(3500));
+  RecordHeartbeat(table, MakeHeartbeat("b"), At(3500));
   ExpireInstances(table, {}, At(3500));
   const auto second = PlanLeaseGrants(table, {"pool"}, Held(first[0]), At(3500));
   REQUIRE(second.size() == 1);
@@ -53,18 +53,18 @@
   grant.holder = "a-1";
   grant.epoch = 4;
   InstanceTable table = MakeInstanceTable(kLease, kMargin, At(0));
-  RecordHeartbeat(table, Beat("b"), At(10));
+  RecordHeartbeat(table, MakeHeartbeat("b"), At(10));
   CHECK(PlanLeaseGrants(table, {"pool"}, Held(grant), At(3000)).empty());
-  RecordHeartbeat(table, Beat("b"), At(3400));
+  RecordHeartbeat(table, MakeHeartbeat("b"), At(3400));
   CHECK(PlanLeaseGrants(table, {"pool"}, Held(grant), At(3500)).size() == 1);
 }
 
 TEST_CASE("a stopping holder gives its lease away at once", "[instances]") {
   InstanceTable table = MakeInstanceTable(kLease, kMargin, At(0));
-  RecordHeartbeat(table, Beat("a"), At(0));
+  RecordHeartbeat(table, MakeHeartbeat("a"), At(0));
   const auto first = PlanLeaseGrants(table, {"pool"}, {}, At(0));
-  RecordHeartbeat(table, Beat("b"), At(1));
-  wire::Heartbeat stopping = Beat("a");
+  RecordHeartbeat(table, MakeHeartbeat("b"), At(1));
+  wire::Heartbeat stopping = MakeHeartbeat("a");
   stopping.stopping = true;
   RecordHeartbeat(table, stopping, At(2));
   const auto second = PlanLeaseGrants(table, {"pool"}, Held(first[0]), At(2));
@@ -74,8 +74,8 @@
 
 TEST_CASE("a restarted instance ends its former run", "[instances]") {
   InstanceTable table = MakeInstanceTable(kLease, kMargin, At(0));
-  RecordHeartbeat(table, Beat("a", "1"), At(0));
-  RecordHeartbeat(table, Beat("a", "2"), At(10));
+  RecordHeartbeat(table, MakeHeartbeat("a", "1"), At(0));
+  RecordHeartbeat(table, MakeHeartbeat("a", "2"), At(10));
   CHECK(table.m_ended_incarnations == std::set<std::string>{"a-1"});
   CHECK(table.m_live.size() == 1);
 }
--- a/tests/rollout_state_test.cc
+++ b/tests/rollout_state_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Roll-outs in the replicated state: orders, steps, what they say of servers.
+// Roll-outs in the replicated state: orders, steps, and their effect on servers.
 #include <catch2/catch.hpp>
 
 #include "poppyway/state.h"
@@ -41,7 +41,7 @@
   return step;
 }
 
-/// Two servers of the present version, one of the next, an order under way.
+/// Returns a state with a roll-out on trial: two servers of the current version, one of the next.
 HostedState InTrial() {
   HostedState state;
   ApplyServer(state, Server("a", "v1"), 1);
@@ -121,10 +121,10 @@
 
 TEST_CASE("a decision is made once: late and mistaken steps are without effect") {
   HostedState state = InTrial();
-  ApplyRolloutStep(state, Step(7, Stage::COMPLETED), 5);  // Of no roll-out here.
+  ApplyRolloutStep(state, Step(7, Stage::COMPLETED), 5);  // No roll-out has this number.
   CHECK(state.m_rollouts.at("models").stage == Stage::TRIAL);
   ApplyRolloutStep(state, Step(1, Stage::MOVING), 6);
-  ApplyRolloutStep(state, Step(1, Stage::TRIAL), 7);  // Lies behind.
+  ApplyRolloutStep(state, Step(1, Stage::TRIAL), 7);  // The stage is an earlier one.
   CHECK(state.m_rollouts.at("models").stage == Stage::MOVING);
   ApplyRolloutStep(state, Step(1, Stage::ROLLED_BACK), 8);
   ApplyRolloutStep(state, Step(1, Stage::COMPLETED), 9);
