--- a/packages/polling/include/poppyway/polling.h
+++ b/packages/polling/include/poppyway/polling.h
@@ -3,9 +3,9 @@
 #pragma once
 
 /// \file
-/// \brief Controllers by which an instance of a hosted deployment learns what the members know.
+/// \brief Long-poll client by which an instance of a hosted deployment follows the members' state.
 ///
-/// \detail They reach members through functions that they are given, and know no sockets. No object
-/// is thread-safe; each belongs to the control task.
+/// \detail The client calls members through callbacks and opens no sockets itself. No object is
+/// thread-safe; each belongs to the control task.
 
 #include "poppyway/polling/impl/hosted_state_poller.h"
--- a/packages/polling/include/poppyway/polling/impl/hosted_state_poller.h
+++ b/packages/polling/include/poppyway/polling/impl/hosted_state_poller.h
@@ -11,87 +11,98 @@
 
 namespace poppyway {
 
-/// \brief How the reader of news reaches members, which it names by their index, and who takes what
-/// it reads.
+/// \brief Callbacks by which a `HostedStatePoller` calls members and delivers results. Members are
+/// identified by their index.
 struct PollerCallbacks {
+  /// Sends a request to a member; the last argument receives the reply or an error.
   std::function<void(std::size_t member, wire::Body, Duration timeout, PeerClient::OnReply)>
       m_call_member;
-  /// When bytes last came from a member; zero: never.
+  /// Returns when bytes last arrived from a member; zero if none ever did.
   std::function<Instant(std::size_t member)> m_last_receive_time;
-  /// The member to read from now.
+  /// Returns the member to poll next.
   std::function<std::size_t(Instant now)> m_choose_member;
-  /// A member lags or doesn't answer: others are read for a while.
+  /// Reports a member that lags or doesn't reply, so that it isn't chosen for a while.
   std::function<void(std::size_t member, Instant now)> m_avoid;
+  /// Returns the index of the current leader.
   std::function<std::size_t()> m_leader;
-  std::function<void(const wire::ConfigDelta&)> m_on_leader;   ///< With every answer.
-  std::function<void(const wire::ConfigDelta&)> m_on_servers;  ///< With those that are newer.
+  /// Receives each successful reply, for the leader that it names.
+  std::function<void(const wire::ConfigDelta&)> m_on_leader;
+  /// Receives each reply whose servers are newer than those received before.
+  std::function<void(const wire::ConfigDelta&)> m_on_servers;
+  /// Receives each document whose version is above those received before.
   std::function<void(std::shared_ptr<const wire::Document>)> m_on_document;
 };
 
-/// \brief Reads news from the members for one instance: servers, evacuations and the leader's name
-/// on one long poll, the operator's document on another, so that neither waits for the other. A
-/// document comes as steps; what is large of them comes piece by piece, each asked for when the one
-/// before is here. Belongs to the control task.
+/// \brief Polls the members on behalf of one instance.
+///
+/// One long poll covers servers, evacuations and the leader's name, another the operator's
+/// document, so that neither waits for the other. A document arrives as document changes; a large
+/// change is fetched in pieces, one request at a time. Not thread-safe: belongs to the control
+/// task.
 class HostedStatePoller {
  public:
-  explicit HostedStatePoller(PollerCallbacks port);
+  explicit HostedStatePoller(PollerCallbacks callbacks);
 
-  /// Asks where nothing is being asked. `leader_document` and `leader_servers` are what the leader
-  /// last said it has: a member that has not told as much in time is passed over.
+  /// \brief Sends the polls that are due, and moves a poll to the leader if its member lags.
+  /// \param leader_document version of the document that the leader last reported.
+  /// \param leader_servers index of the servers that the leader last reported.
   void Tick(std::int64_t leader_document, std::int64_t leader_servers, Instant now);
   [[nodiscard]] std::int64_t document_version() const noexcept { return m_document->version; }
   [[nodiscard]] std::int64_t servers_index() const noexcept { return m_servers_index; }
-  /// Of the latest leader that was named, for the members' answers to be newer than it.
+  /// \brief Sets the term of the latest known leader; it is sent with each poll, so that members
+  /// reply once they know a later leader.
   void SetLeaderTerm(std::int64_t term) { m_leader_term = term; }
 
  private:
   /// One long poll.
-  struct Question {
+  struct LongPoll {
     wire::NewsKind::type m_kind = wire::NewsKind::SERVERS;
     std::size_t m_member = 0;
-    bool m_open = false;
-    std::uint64_t m_number = 0;  ///< Of the last time it was asked.
-    Instant m_after{};           ///< Not to be asked before.
-    Instant m_behind_since{};  ///< While open, the leader knows something newer; zero: it doesn't.
-    Duration m_patience{};     ///< For which an answer may be late.
+    bool m_in_flight = false;
+    std::uint64_t m_request_number = 0;  ///< Number of the last request of this poll.
+    Instant m_not_before{};              ///< Earliest time of the next request.
+    /// Since when the leader has had something newer while the poll is in flight; zero: it hasn't.
+    Instant m_behind_since{};
+    Duration m_overdue_after{};  ///< How long a reply may lag behind the leader.
   };
-  /// A step that is being fetched.
+  /// A document change that is being fetched in pieces.
   struct Fetch {
-    wire::DocumentChange m_step;  ///< With the edits that are here.
+    wire::DocumentChange m_change;  ///< `edits` holds the bytes received so far.
     std::size_t m_member = 0;
-    Instant m_begun{};
+    Instant m_started{};
   };
 
-  /// Asks the nearest member, or looks whether its answer is overdue.
-  void Attend(Question& question, bool behind, Instant now);
-  void Ask(Question& question, Instant now);
-  void OnAnswer(Question& question,
-                std::uint64_t number,
-                std::size_t member,
-                const Result<wire::Body>& reply);
+  /// Sends the poll if none is in flight, or else checks whether its reply is overdue.
+  void DrivePoll(LongPoll& poll, bool behind, Instant now);
+  void SendPoll(LongPoll& poll, Instant now);
+  void OnPollReply(LongPoll& poll,
+                   std::uint64_t number,
+                   std::size_t member,
+                   const Result<wire::Body>& reply);
   void OnServers(const wire::ConfigDelta& delta);
-  void OnDocument(const wire::ConfigDelta& delta, std::size_t member);
-  /// Takes a whole step; false if it can't be taken here.
-  bool TakeStep(const wire::DocumentChange& step);
-  void BeginFetch(const wire::DocumentChange& step, std::size_t member);
+  void OnDocumentChanges(const wire::ConfigDelta& delta, std::size_t member);
+  /// Applies a document change with all its edits; false if it doesn't apply to the document held.
+  bool PatchHeldDocument(const wire::DocumentChange& change);
+  void BeginFetch(const wire::DocumentChange& change, std::size_t member);
   void FetchPiece();
   void OnPiece(const Result<wire::Body>& reply);
-  void EndFetch();
-  /// Turns a question to the leader if the member that is asked has not told what the leader has.
-  void CheckBehind(Question& question, bool behind, Instant now);
-  /// The member of a question lags or doesn't answer.
-  void TurnAway(Question& question, Instant now);
+  void FinishFetch();
+  /// Moves a poll to the leader if its member has not replied with what the leader has in time.
+  void CheckOverdue(LongPoll& poll, bool behind, Instant now);
+  /// Reports the poll's member as one to avoid and delays the next request.
+  void AvoidMember(LongPoll& poll, Instant now);
   void PublishDocument();
 
-  PollerCallbacks m_port;
-  Question m_servers;
-  Question m_documents;
+  PollerCallbacks m_callbacks;
+  LongPoll m_servers_poll;
+  LongPoll m_document_poll;
   std::int64_t m_servers_index = 0;
   std::int64_t m_leader_term = 0;
   std::shared_ptr<const wire::Document> m_document = std::make_shared<const wire::Document>();
-  std::int64_t m_published = 0;    ///< Version that was last handed on.
-  bool m_whole_wanted = false;     ///< A step could not be taken: the next answer begins anew.
-  std::unique_ptr<Fetch> m_fetch;  ///< Null: none.
+  std::int64_t m_published_version = 0;  ///< Version that was last passed to `m_on_document`.
+  /// A document change didn't apply: the next poll requests the full document.
+  bool m_need_full_document = false;
+  std::unique_ptr<Fetch> m_fetch;  ///< Null: no fetch is in progress.
 };
 
 }  // namespace poppyway
