--- a/packages/forward/include/poppyway/forward.h
+++ b/packages/forward/include/poppyway/forward.h
@@ -5,12 +5,12 @@
 /// \file
 /// \brief Forwards any HTTP request by host and path to backend servers that register themselves.
 ///
-/// \detail The hosted counterpart of the gateway: callers bring keys of workspaces, routes name
-/// pools with weights, and servers are model engines or plain services that know no tiers. One
-/// `Forwarder` is one task; it owns its listener, its requests and its connections, and talks with
-/// the control task by the messages of `forwarder_messages.h`. The way of one request is `RunChain`
-/// in src/chain.cc. A `Dialect` translates header fields and the operator's document; nothing here
-/// knows a deployment's names.
+/// \detail This is the hosted counterpart of the gateway: callers send API keys of workspaces,
+/// routes name weighted pools, and servers are model engines or plain services that know no tiers.
+/// One `Forwarder` is one task; it owns its listeners, requests and connections, and exchanges the
+/// messages of `forwarder_messages.h` with the control task. `RunChain` in src/chain.cc shows the
+/// steps that a request passes. A `ProtocolAdapter` translates header fields and the operator's
+/// document, so that nothing here depends on a deployment's names.
 
 #include "poppyway/forward/impl/backend_call.h"
 #include "poppyway/forward/impl/event_stream.h"
--- a/packages/forward/include/poppyway/forward/impl/backend_call.h
+++ b/packages/forward/include/poppyway/forward/impl/backend_call.h
@@ -20,30 +20,31 @@
 
 namespace poppyway {
 
-/// \brief Why a call ended without a whole answer.
+/// \brief Why a call ended without a complete response.
 enum class CallFault : std::uint8_t {
-  kNotConnected,  ///< No connection: no byte of the request was sent.
-  kWithdrawn,     ///< `m_may_send` said no: no byte was sent.
-  kSilentClose,   ///< The server closed in order, before its answer was whole.
-  kReset,         ///< The connection was reset, or gave up after silence.
-  kNoAnswer,      ///< What came is not HTTP.
+  kNotConnected,  ///< The connection attempt failed; no byte of the request was sent.
+  kWithdrawn,     ///< `m_may_send` returned false; no byte was sent.
+  kClosedEarly,   ///< The server closed the connection before its response was complete.
+  kReset,         ///< The connection was reset or timed out.
+  kNotHttp,       ///< The received bytes are not valid HTTP.
 };
 
-/// \brief Text for logs and counters.
+/// \brief Returns the text of a fault for logs and counters.
 [[nodiscard]] std::string_view CallFaultName(CallFault fault) noexcept;
 
-/// \brief True if no byte of the request can have reached the server.
+/// \brief Returns true if no byte of the request can have reached the server.
 [[nodiscard]] constexpr bool NothingSent(CallFault fault) noexcept {
   return fault == CallFault::kNotConnected || fault == CallFault::kWithdrawn;
 }
 
-/// \brief What the caller of a call makes of an answer's head.
+/// \brief How the owner of a call treats a response head.
 enum class HeadVerdict : std::uint8_t {
-  kTake,  ///< It answers this request.
-  kSkip,  ///< It answers another one; this request's may follow.
+  kAccept,  ///< The response belongs to this request.
+  kSkip,    ///< The response belongs to another request; this request's may follow.
 };
 
-/// \brief What a call reports. Exactly one of the last two ends it. None may destroy the call.
+/// \brief Callbacks of a call. Exactly one of the last two ends it. None may destroy the call.
+/// `m_may_send` is called at most once, immediately before the first byte is sent.
 struct CallEvents {
   std::function<bool()> m_may_send;
   std::function<HeadVerdict(int status, std::vector<Field> fields)> m_on_head;
@@ -54,11 +55,11 @@
 
 class BackendCall;
 
-/// \brief Connections to backend servers that rest between requests, by place. One task.
+/// \brief Idle keep-alive connections to backend servers, by address. Belongs to one task.
 ///
-/// The HTTP library's own client isn't used: it can't tell a close from a reset, which is the
-/// difference between a whole and a broken answer of unstated length, and it gives no hold on how
-/// long a connection attempt may take. Sockets are the library's, parsing is http_parser's.
+/// The HTTP library's own client isn't used: it can't distinguish a close from a reset, which
+/// decides whether a response without a stated length is complete, and it offers no connect
+/// timeout. The library provides the sockets, http_parser the parsing.
 class BackendPool {
  public:
   explicit BackendPool(EventLoop& loop);
@@ -66,39 +67,43 @@
   BackendPool(const BackendPool&) = delete;
   BackendPool& operator=(const BackendPool&) = delete;
 
+  /// \brief Returns the number of connection attempts so far.
   [[nodiscard]] std::uint64_t opened() const noexcept { return m_opened; }
-  /// Closes all resting connections to `place`.
-  void Forget(const Endpoint& place);
+  /// \brief Closes all idle connections to `endpoint`.
+  void Forget(const Endpoint& endpoint);
 
  private:
   friend class BackendCall;
-  struct Resting;
+  struct IdleConnection;
 
-  /// A connection that has rested for less than its limit, or null.
-  [[nodiscard]] h2o_socket_t* Take(const Endpoint& place, bool careful);
-  void Rest(const Endpoint& place, h2o_socket_t* socket, Duration limit);
-  void Close(Resting* resting);
+  /// Returns an idle connection that hasn't reached its idle limit, or null. `careful` selects only
+  /// connections that were used within `kCarefulIdleLimit`.
+  [[nodiscard]] h2o_socket_t* TakeIdle(const Endpoint& endpoint, bool careful);
+  void KeepIdle(const Endpoint& endpoint, h2o_socket_t* socket, Duration limit);
+  void Close(IdleConnection* idle);
   void Expire();
-  static void OnResting(h2o_socket_t* socket, const char* fault);
+  static void OnIdleReadable(h2o_socket_t* socket, const char* fault);
 
   EventLoop& m_loop;
   h2o_timeout_t m_connect_limit;
-  h2o_timeout_t m_at_once;  ///< The loop's next turn.
-  std::map<Endpoint, std::vector<std::unique_ptr<Resting>>> m_resting;
+  h2o_timeout_t m_at_once;  ///< Fires in the next iteration of the loop.
+  std::map<Endpoint, std::vector<std::unique_ptr<IdleConnection>>> m_idle;
   std::uint64_t m_opened = 0;
   RepeatingTimer m_expiry;
 };
 
-/// \brief One HTTP/1.1 request to one backend server. Destroying it cancels it: the connection is
-/// closed, no event is reported. Never destroy it inside its own events: `Cancel` it and destroy it
-/// later.
+/// \brief One HTTP/1.1 request to one backend server. Belongs to its pool's thread.
+///
+/// Destroying a call cancels it: its connection is closed and no callback follows. A call must not
+/// be destroyed inside its own callbacks: `Cancel` it there and destroy it later.
 class BackendCall {
  public:
-  /// \param request all bytes of the request.
-  /// \param head_only the answer has no body whatever it says.
-  /// \param careful a request that must not be lost to a connection that is just being closed.
+  /// \param request the complete request, head and body.
+  /// \param head_only the response has no body, whatever its header fields state.
+  /// \param careful reuses only a recently used connection, as the request must not be lost to one
+  /// that the server is closing.
   BackendCall(BackendPool& pool,
-              const Endpoint& place,
+              const Endpoint& endpoint,
               std::string request,
               bool head_only,
               bool careful,
@@ -107,15 +112,17 @@
   BackendCall(const BackendCall&) = delete;
   BackendCall& operator=(const BackendCall&) = delete;
 
-  /// Closes the connection; no event is reported any more. May be called inside an event.
+  /// \brief Closes the connection; no callback follows. May be called inside a callback.
   void Cancel();
-  /// Stops and resumes reading, for a slow caller.
+  /// \brief Stops reading from the server, as backpressure of a slow caller.
   void Pause();
+  /// \brief Resumes reading after `Pause`.
   void Resume();
-  /// How long the connection may rest after this answer.
+  /// \brief Sets how long the connection may stay idle after this response.
   void SetKeepAlive(Duration limit) noexcept { m_keep_alive = limit; }
+  /// \brief Returns true if the call uses a kept connection.
   [[nodiscard]] bool reused() const noexcept { return m_reused; }
-  /// How long a new connection took to come up; zero: it isn't up, or none was opened.
+  /// \brief Returns the connect time; zero: not connected, or a connection was reused.
   [[nodiscard]] Duration connect_time() const noexcept { return m_connect_time; }
 
  private:
@@ -146,7 +153,7 @@
   void CloseSocket();
 
   BackendPool& m_pool;
-  Endpoint m_place;
+  Endpoint m_endpoint;
   std::string m_request;
   bool m_head_only;
   CallEvents m_events;
@@ -157,17 +164,17 @@
   std::vector<Field> m_fields;
   bool m_in_value = false;
   bool m_head_done = false;
-  bool m_skipping = false;  ///< The message at hand answers another request.
+  bool m_skipping = false;  ///< The current message is a response to another request.
   bool m_complete = false;
   bool m_written = false;
-  bool m_silent = false;
+  bool m_detached = false;  ///< No more callbacks are made.
   bool m_reused = false;
   Instant m_connect_begun{};
   Duration m_connect_time{};
   bool m_paused = false;
-  bool m_parsing = false;  ///< The parser reads the socket's buffer: it must not be freed.
+  bool m_parsing = false;  ///< The parser reads the socket's buffer, which must not be freed.
   bool m_cancelled = false;
-  bool m_surplus = false;  ///< More than one answer came: the connection isn't kept.
+  bool m_not_reusable = false;  ///< Another response came, or the peer closed: no keep-alive.
   Duration m_keep_alive;
 };
 
--- a/packages/forward/include/poppyway/forward/impl/event_stream.h
+++ b/packages/forward/include/poppyway/forward/impl/event_stream.h
@@ -9,18 +9,19 @@
 
 namespace poppyway {
 
-/// \brief Splits an event stream into whole events, so that a break never passes half of one on.
+/// \brief Splits an event stream into complete events, so that a broken stream never forwards part
+/// of one.
 struct EventStreamParser {
-  std::string m_partial;                  ///< Bytes after the last whole event.
-  std::optional<std::int64_t> m_last_id;  ///< Id of the last whole event.
-  std::int64_t m_events = 0;              ///< Whole events so far.
-  bool m_out_of_order = false;            ///< An id was not one above the one before.
+  std::string m_partial;                  ///< Bytes after the last complete event.
+  std::optional<std::int64_t> m_last_id;  ///< Id of the last complete event.
+  std::int64_t m_events = 0;              ///< Number of complete events so far.
+  bool m_out_of_order = false;            ///< An id was not the previous id plus one.
 };
 
-/// \brief Takes bytes and returns those of all events that are now whole.
+/// \brief Appends bytes to the stream and returns the bytes of all events that are now complete.
 ///
-/// An event ends with an empty line. Its id is the value of its `id` line. Once ids don't rise one
-/// by one, `m_out_of_order` is set and nothing more is returned.
+/// An event ends with an empty line. Its id is the value of its `id` line. At the first id that
+/// isn't the previous id plus one, `m_out_of_order` is set; no later bytes are returned.
 [[nodiscard]] std::string ExtractEvents(EventStreamParser& stream, std::string_view bytes);
 
 }  // namespace poppyway
--- a/packages/forward/include/poppyway/forward/impl/forwarder.h
+++ b/packages/forward/include/poppyway/forward/impl/forwarder.h
@@ -26,25 +26,25 @@
 struct ForwarderSettings {
   std::string m_instance;
   std::string m_data_centre;
-  RegionMap m_regions;  ///< Of all data centres.
+  RegionMap m_regions;  ///< The region of each data centre.
   SlowStartTolerance m_slow_start_tolerance;
-  Endpoint m_caller_endpoint;     ///< Where callers connect.
-  Endpoint m_readiness_endpoint;  ///< Where the balancer asks.
-  Endpoint m_metrics_endpoint;    ///< Port 0: none.
+  Endpoint m_caller_endpoint;     ///< Listens for callers.
+  Endpoint m_readiness_endpoint;  ///< Serves the load balancer's readiness checks.
+  Endpoint m_metrics_endpoint;    ///< Serves metrics; port 0: disabled.
   Duration m_shutdown_timeout{
-      8'000'000};            ///< A planned stop is over after this, whatever still runs.
-  RetryLimit m_retry_limit;  ///< Second dispatches, over all instances.
+      8'000'000};  ///< A planned shutdown ends after this time, even with requests in flight.
+  RetryLimit m_retry_limit;  ///< Limit of retries over all instances.
   QuotaTolerance m_quota_tolerance;
-  /// An instance that can't reach a leader may go on for so long with what it knows.
+  /// How long an instance that can't reach a leader may use its last configuration.
   Duration m_max_config_staleness{5'000'000};
 };
 
-/// \brief The order of waiting: the workspace's tier, then the route's, then shorter answers before
-/// much longer ones, then age.
+/// \brief Queue order: the workspace's tier, then the route's tier, then the length class of the
+/// expected response (shorter first), then the order of arrival.
 struct WaitingOrder {
   Tier m_tier = 0;
   Tier m_route_tier = 0;
-  int m_length_class = 0;  ///< Of the expected answer: doublings above the usual.
+  int m_length_class = 0;  ///< Doublings of the expected response length above the mean.
   ForwardingRef m_ref = 0;
 
   friend bool operator==(const WaitingOrder&, const WaitingOrder&) = default;
@@ -54,48 +54,48 @@
   }
 };
 
-/// \brief Requests of one pool that wait.
+/// \brief Queued requests of one pool.
 using WaitingQueue = std::map<WaitingOrder, ForwardingRef>;
 
-/// \brief What is known of one pool here.
+/// \brief This instance's state of one pool.
 struct PoolState {
-  std::vector<std::string> m_servers;  ///< Ids, in order.
+  std::vector<std::string> m_servers;  ///< Ids of servers that may get requests, sorted.
   WaitingQueue m_waiting;
-  std::array<double, kTiers> m_mean_log_tokens{};  ///< Logarithm of expected tokens, by rank.
+  std::array<double, kTiers> m_mean_log_tokens{};  ///< Mean log of expected tokens, by route tier.
   RetryBudget m_retries{0};
-  bool m_cold_told = false;  ///< One of its servers has said that it is cold.
+  bool m_cold_declared = false;  ///< A server of the pool has declared a warm-up time.
 };
 
-/// \brief What a broker last said of a workspace's limit.
+/// \brief The remaining quota of a workspace as the broker last reported it.
 struct LimitLeft {
   double m_limit_left = 0;
   QuotaLimit m_limit;
-  Instant m_told{};
-  std::int64_t m_epoch = 0;  ///< Of that broker.
+  Instant m_reported_at{};   ///< When the report arrived.
+  std::int64_t m_epoch = 0;  ///< Epoch of the broker that reported it.
 };
 
-/// \brief This instance's line to the broker of places.
+/// \brief The connection to the slot broker, with its state.
 ///
-/// A lost packet holds the connection up for 200 ms and more, longer than a request can wait for
-/// its place. So a line that is quiet for as long as a request waits is not yet lost: requests are
-/// decided here meanwhile, and its next word ends that. Only a line that stays quiet for
-/// `kBrokerSilence`, or a connection that is closed, is a broker lost, after which all that is held
-/// is told anew.
+/// A lost packet stalls the connection for 200 ms and more, longer than a request can wait for its
+/// slot. So a response that is overdue by one request's wait doesn't mean that the broker is lost:
+/// this instance places requests itself until the broker's next response. The broker counts as lost
+/// only after it hasn't responded for another `kBrokerTimeout`, or when the connection is closed;
+/// after a reconnect all held slots are reported again.
 struct BrokerLink {
   BrokerPort m_port;
-  bool m_active = false;    ///< A broker was found. If not, this instance decides alone.
-  Instant m_quiet_since{};  ///< A place request has had no answer for too long; zero: none.
+  bool m_active = false;      ///< A broker is connected; else this instance places requests itself.
+  Instant m_overdue_since{};  ///< Since when a response has been overdue; zero: none is.
   std::int64_t m_epoch = 0;
   SlotRef m_next_ref = 1;
-  std::unordered_map<SlotRef, ForwardingRef> m_asked;  ///< Answers that are awaited.
+  std::unordered_map<SlotRef, ForwardingRef> m_pending_requests;  ///< Pending slot requests.
   SlotBatch m_outbox;
-  std::map<std::string, LimitLeft> m_left;  ///< By workspace.
+  std::map<std::string, LimitLeft> m_limits_left;  ///< Remaining quota by workspace.
   std::map<std::string, LocalQuotaBucket>
-      m_local_quota;  ///< By workspace, since the broker was lost.
-  CostSums m_costs;   ///< Of all requests here that a limit applies to.
+      m_local_quota;  ///< By workspace; charges since the broker became unresponsive.
+  CostSums m_costs;   ///< Costs of all requests at this instance that a limit applies to.
 };
 
-/// \brief All state of the forwarder task. Plain data; the functions of src/ act on it.
+/// \brief All state of the forwarder task. Plain data; the functions in src/ operate on it.
 struct ForwarderState {
   ForwarderSettings m_settings;
   ProtocolAdapter m_adapter;
@@ -103,47 +103,49 @@
   Instant m_confirmed_until{};
   BrokerLink m_broker;
   InstanceCount m_instances;
-  double m_tokens_per_event = 0;      ///< Learned; zero: not known yet.
-  RoundTripTable m_round_trip_table;  ///< From this instance's region.
+  double m_tokens_per_event = 0;      ///< Estimated from responses; zero: not known yet.
+  RoundTripTable m_round_trip_table;  ///< Round-trip times from this instance's region.
   bool m_stopping = false;
   Instant m_shutdown_started{};
-  bool m_ready_told = false;
+  bool m_ready_logged = false;
   std::map<std::string, Backend> m_backends;
-  Instant m_back_off_until{};  ///< The latest of theirs: no server asks for anything after it.
-  std::map<Endpoint, std::vector<std::string>> m_at_place;  ///< Ids of servers at each address.
+  Instant m_back_off_until{};  ///< The latest back-off end of all servers.
+  std::map<Endpoint, std::vector<std::string>> m_by_address;  ///< Server ids by address.
   std::map<std::string, PoolState> m_pools;
-  std::map<std::string, wire::Evacuation> m_evacuations;  ///< By data centre.
+  std::map<std::string, wire::Evacuation> m_evacuations;  ///< Latest evacuation by data centre.
   OutageDetector m_outages = LocalOutageDetector();       ///< Fed by this instance's own requests.
-  std::vector<std::string> m_suspects;  ///< Data centres that the broker holds to be lost.
+  std::vector<std::string> m_suspects;  ///< Data centres that the broker considers lost.
   std::unordered_map<ForwardingRef, std::unique_ptr<Forwarding>> m_forwardings;
-  std::vector<ForwardingRef> m_awaiting_start;          ///< Until the configuration is known.
-  std::vector<std::unique_ptr<BackendCall>> m_retired;  ///< Destroyed outside their events.
-  std::vector<ForwardingRef> m_over;                    ///< Forgotten outside all events.
+  std::vector<ForwardingRef> m_held_requests;           ///< Held until the configuration is known.
+  std::vector<std::unique_ptr<BackendCall>> m_retired;  ///< Destroyed outside their callbacks.
+  std::vector<ForwardingRef> m_finished;  ///< Requests to erase outside all callbacks.
   ForwardingRef m_next_ref = 1;
   std::unique_ptr<BackendPool> m_connections;
   MetricSet m_metrics;
   std::mt19937_64 m_random;
   Instant m_callers_polled{};
-  bool m_lives_changed = false;  ///< Calls may be under way to earlier lives of servers.
+  bool m_servers_restarted = false;  ///< Calls to servers that have restarted since may be active.
 };
 
-/// \brief The forwarder task. Belongs to its loop's thread.
+/// \brief The forwarder task. All members must be called on the thread of its event loop.
 class Forwarder {
  public:
   Forwarder(EventLoop& loop, const ForwarderSettings& settings, ProtocolAdapter adapter);
   ~Forwarder();
 
-  /// Listens for callers, the balancer and readers of metrics.
+  /// \brief Starts the listeners for callers, readiness checks and metrics.
+  /// \return the error of the first listener that can't be opened.
   [[nodiscard]] Result<void> Listen();
-  /// Takes one message of the control task.
+  /// \brief Handles one message of the control task.
   void HandleMessage(ForwarderMessage message);
-  /// Where place requests go. Without one this instance decides alone.
+  /// \brief Sets where slot requests are sent. `BrokerConnected` must follow before it is used.
   void SetBrokerPort(BrokerPort port) { m_state.m_broker.m_port = std::move(port); }
-  /// Adds the metrics of other parts of the daemon to those that are served.
+  /// \brief Adds metrics of other parts of the daemon to each metrics response.
   void SetExtraMetrics(std::function<void(MetricSet&)> add) { m_extra_metrics = std::move(add); }
-  /// A planned stop begins: not ready at once, answers are finished.
+  /// \brief Begins a planned shutdown: reports not ready at once and finishes requests in flight.
   void BeginShutdown();
-  /// True once nothing is left to finish, or the limit is reached.
+  /// \brief Returns true once all requests have ended and the balancer had time to notice, or once
+  /// the shutdown timeout, less a margin, has passed.
   [[nodiscard]] bool ShutdownComplete() const;
   [[nodiscard]] ForwarderState& state() noexcept { return m_state; }
 
--- a/packages/forward/include/poppyway/forward/impl/forwarder_messages.h
+++ b/packages/forward/include/poppyway/forward/impl/forwarder_messages.h
@@ -13,33 +13,34 @@
 
 namespace poppyway {
 
-/// \brief A newer document of the operator was accepted.
+/// \brief The cluster accepted a newer configuration document of the operator.
 struct NewDocument {
   std::shared_ptr<const wire::Document> m_document;
 };
 
-/// \brief Backend servers that appeared, began to leave or are gone.
+/// \brief Records of backend servers that were added, began to drain or were removed.
 struct ServersChanged {
   std::vector<wire::ServerRecord> m_servers;
 };
 
-/// \brief The last evacuation of each data centre, ended or not.
+/// \brief The latest evacuation of each data centre, whether it has ended or not.
 struct EvacuationsChanged {
   std::vector<wire::Evacuation> m_evacuations;
 };
 
-/// \brief A leader has confirmed that the document in force here was the newest one; it may be
-/// acted on until `m_until`.
+/// \brief A leader confirmed that this instance's document is the newest one; the instance may use
+/// it until `m_until`.
 struct ConfirmedUntil {
   Instant m_until{};
 };
 
-/// \brief How many instances take callers, this one included, as the leader last heard.
+/// \brief The number of instances that serve callers, this one included, by the leader's last
+/// count.
 struct LiveInstanceCount {
   int m_instances = 1;
 };
 
-/// \brief A broker answers at the leader; it knows nothing of this instance yet.
+/// \brief A broker is reachable at the leader; it has no state of this instance yet.
 struct BrokerConnected {
   std::int64_t m_epoch = 0;
 };
@@ -47,15 +48,15 @@
 /// \brief The connection to the broker is lost.
 struct BrokerDisconnected {};
 
-/// \brief The broker's answers to place requests.
+/// \brief The broker's responses to slot requests.
 struct SlotResponses {
   std::int64_t m_epoch = 0;
   std::vector<SlotResponse> m_answers;
-  /// All data centres that it holds to be lost or cut off; unset: no news of it.
+  /// All data centres that the broker considers lost or unreachable; unset: no change.
   std::optional<std::vector<std::string>> m_suspects = std::nullopt;
 };
 
-/// \brief From the control task to the forwarder.
+/// \brief Any message from the control task to the forwarder.
 using ForwarderMessage = std::variant<NewDocument,
                                       ServersChanged,
                                       EvacuationsChanged,
@@ -65,15 +66,16 @@
                                       BrokerDisconnected,
                                       SlotResponses>;
 
-/// \brief How the control task of a hosted instance reaches its forwarder; both on one thread.
+/// \brief The control task's port to the forwarder. Both tasks run on one thread.
 struct ForwarderPort {
   std::function<void(ForwarderMessage)> m_send;
 };
 
-/// \brief How the forwarder reaches the broker, through the control task; both on one thread.
+/// \brief The forwarder's port to the broker, through the control task. Both tasks run on one
+/// thread.
 struct BrokerPort {
   std::function<void(SlotBatch)> m_send;
-  std::function<void()> m_on_unresponsive;  ///< The broker doesn't answer: it is to be found anew.
+  std::function<void()> m_on_unresponsive;  ///< Called when the broker times out; reconnects.
 };
 
 }  // namespace poppyway
--- a/packages/forward/include/poppyway/forward/impl/protocol_adapter.h
+++ b/packages/forward/include/poppyway/forward/impl/protocol_adapter.h
@@ -15,7 +15,7 @@
 
 namespace poppyway {
 
-/// \brief A header field; the name in lower case.
+/// \brief A header field with its name in lower case.
 struct Field {
   std::string m_name;
   std::string m_value;
@@ -23,52 +23,52 @@
   friend bool operator==(const Field&, const Field&) = default;
 };
 
-/// \brief What a caller's header fields say, decoded once.
+/// \brief The decoded header fields of a caller's request.
 struct CallerRequest {
-  std::string m_id;                   ///< The caller's own name for this attempt.
-  std::string m_key;                  ///< Empty: none was sent.
-  std::optional<Duration> m_timeout;  ///< How long the caller waits, from now on.
+  std::string m_id;                   ///< The caller's id of this attempt.
+  std::string m_key;                  ///< API key; empty: none was sent.
+  std::optional<Duration> m_timeout;  ///< How long the caller waits, counted from the arrival.
   std::int64_t m_prompt_tokens = 0;
-  std::int64_t m_most_tokens = 0;      ///< That it may generate.
-  std::int64_t m_expected_tokens = 0;  ///< That the caller expects; often far off. Zero: not told.
-  bool m_names_tokens = false;
+  std::int64_t m_most_tokens = 0;      ///< Maximum number of generated tokens.
+  std::int64_t m_expected_tokens = 0;  ///< The caller's estimate, often far off; zero: none.
+  bool m_names_tokens = false;         ///< The request states its token counts.
   std::vector<PromptSegment> m_prompt_segments;
-  std::optional<std::int64_t> m_resume_after;  ///< The last event that the caller has.
-  std::vector<Field> m_forwarded;              ///< What a backend server gets unchanged.
+  std::optional<std::int64_t> m_resume_after;  ///< Id of the last event that the caller has.
+  std::vector<Field> m_forwarded;  ///< Fields that are forwarded to the server unchanged.
 
   friend bool operator==(const CallerRequest&, const CallerRequest&) = default;
 };
 
-/// \brief What this system adds to a request for a backend server.
+/// \brief The data that this system adds to a request to a backend server.
 struct DispatchFields {
-  std::string m_server;     ///< Id of the server that may run it; any other declines.
+  std::string m_server;     ///< Id of the server that may run it; any other rejects it.
   std::string m_workspace;  ///< Empty: an anonymous request.
-  Duration m_left{};        ///< Time that remains.
+  Duration m_left{};        ///< Time that remains until the deadline.
   std::optional<std::int64_t> m_resume_after;
 };
 
-/// \brief What the head of a backend server's answer says, decoded once.
+/// \brief The decoded head of a backend server's response.
 struct ServerResponse {
   int m_status = 0;
-  std::optional<std::string> m_id;  ///< Of the request that it answers, if it names one.
-  bool m_signed = false;            ///< Carries the server's signature.
-  bool m_not_run = false;           ///< The server promises that it has not run the request.
-  /// Another server than the one that was meant answered: its id.
+  std::optional<std::string> m_id;  ///< Id of the answered request, if the response states it.
+  bool m_signed = false;            ///< The response carries the server's signature.
+  bool m_not_run = false;           ///< The server states that it has not run the request.
+  /// Id of the responding server, if it isn't the one that the request was sent to.
   std::optional<std::string> m_other_server;
   bool m_event_stream = false;
-  bool m_leaving = false;                ///< The server is about to end: it wants nothing new.
-  std::optional<Duration> m_back_off;    ///< It asks this instance to send nothing for so long.
-  std::optional<Duration> m_keep_alive;  ///< How long the connection may rest.
-  int m_running = -1;                    ///< Requests at work there; -1: not told.
-  int m_waiting = 0;
-  std::string m_unreadable;      ///< Name of a field whose value can't be read; empty: none.
-  std::vector<Field> m_relayed;  ///< What the caller gets unchanged.
+  bool m_leaving = false;                ///< The server drains and takes no new requests.
+  std::optional<Duration> m_back_off;    ///< The server asks for no requests for this long.
+  std::optional<Duration> m_keep_alive;  ///< How long the connection may stay idle.
+  int m_running = -1;                    ///< Requests that the server runs; -1: not stated.
+  int m_waiting = 0;                     ///< Requests queued at the server.
+  std::string m_unreadable;              ///< Name of a field with an invalid value; empty: none.
+  std::vector<Field> m_relayed;          ///< Fields that are relayed to the caller unchanged.
 
   friend bool operator==(const ServerResponse&, const ServerResponse&) = default;
 };
 
-/// \brief How a deployment speaks: pure functions between its formats and our types. Nothing else
-/// knows its names.
+/// \brief Pure functions that translate between a deployment's formats and this library's types.
+/// Nothing else depends on the deployment's names.
 struct ProtocolAdapter {
   std::function<CallerRequest(std::vector<Field> fields)> m_decode_request;
   std::function<std::vector<Field>(const DispatchFields&)> m_encode_dispatch;
--- a/packages/forward/include/poppyway/forward/impl/route_table.h
+++ b/packages/forward/include/poppyway/forward/impl/route_table.h
@@ -14,13 +14,13 @@
 
 namespace poppyway {
 
-/// \brief Whether a request may run more than once.
+/// \brief Whether the requests of a route may run more than once.
 enum class Repeat : std::uint8_t {
-  kNever,   ///< At most once.
-  kAlways,  ///< As often as needed.
+  kNever,   ///< A request runs at most once.
+  kAlways,  ///< A request may be retried after it has run.
 };
 
-/// \brief A pool with its part of a route's requests.
+/// \brief A pool and its relative weight within a route.
 struct PoolWeight {
   std::string m_pool;
   double m_weight = 1;
@@ -28,22 +28,22 @@
   friend bool operator==(const PoolWeight&, const PoolWeight&) = default;
 };
 
-/// \brief Requests of one host under one path prefix.
+/// \brief A rule for all requests to one host under one path prefix.
 struct Route {
   std::string m_name;
   std::string m_host;    ///< Lower case, without a port.
   std::string m_prefix;  ///< Begins and ends with a slash.
   std::vector<PoolWeight> m_pools;
   Repeat m_repeat = Repeat::kNever;
-  bool m_stream = false;     ///< Answers are event streams.
-  bool m_resumable = false;  ///< A broken stream may go on at another server.
-  bool m_anonymous = false;  ///< Needs no key.
+  bool m_stream = false;     ///< Responses are event streams.
+  bool m_resumable = false;  ///< A broken stream may be resumed at another server.
+  bool m_anonymous = false;  ///< Requests need no API key.
   Tier m_tier = 0;
-  int m_max_attempts = 1;       ///< Servers that one request may be sent to.
-  Duration m_timeout{};         ///< Longest that a request is held.
-  Duration m_latency_target{};  ///< First event, or the whole answer, wanted within this.
-  Duration m_gap_target{};      ///< Longest pause between events that is still in time.
-  HomeRegions m_home_regions;   ///< Where its requests may be served.
+  int m_max_attempts = 1;       ///< Maximum number of servers that a request may be sent to.
+  Duration m_timeout{};         ///< Maximum time from arrival to the final response.
+  Duration m_latency_target{};  ///< Target for the first event, or for the whole response.
+  Duration m_gap_target{};      ///< Longest gap between events that counts as in time.
+  HomeRegions m_home_regions;   ///< Regions where its requests may be served.
 
   friend bool operator==(const Route&, const Route&) = default;
 };
@@ -52,28 +52,27 @@
 struct Pool {
   std::string m_name;
   std::string m_health_path;
-  int m_max_connections = 0;  ///< Of all instances together, for each server; zero: no limit.
-  bool m_engines = false;     ///< Model engines, which read prompts and batch.
-  SlowStartLimit
-      m_slow_start_limit;  ///< Without the most that a server may get: settings tell that.
+  int m_max_connections = 0;  ///< For each server, over all instances; zero: no limit.
+  bool m_engines = false;     ///< The servers are model engines, which prefill prompts and batch.
+  SlowStartLimit m_slow_start_limit;  ///< Limit without tolerance; the settings hold the tolerance.
 
   friend bool operator==(const Pool&, const Pool&) = default;
 };
 
-/// \brief A workspace with its keys and its limit.
+/// \brief A workspace with its API keys and its quota limit.
 struct Workspace {
   std::string m_name;
   std::vector<std::string> m_keys;
-  std::optional<Tier> m_tier;  ///< Takes precedence over a route's.
+  std::optional<Tier> m_tier;  ///< Overrides the tier of the route.
   QuotaLimit m_limit;
-  bool m_counts_tokens = false;  ///< The limit counts tokens, else requests.
-  double m_plain_cost = 1;       ///< Of a request that names no tokens.
-  HomeRegions m_home_regions;    ///< Where its requests may be served.
+  bool m_counts_tokens = false;  ///< The limit counts tokens instead of requests.
+  double m_plain_cost = 1;       ///< Cost of a request that states no token counts.
+  HomeRegions m_home_regions;    ///< Regions where its requests may be served.
 
   friend bool operator==(const Workspace&, const Workspace&) = default;
 };
 
-/// \brief What a caller may send and how long it may rest.
+/// \brief Limits of a caller's request size and idle connection time.
 struct CallerLimits {
   std::int64_t m_max_body_bytes = 4 << 20;
   Duration m_idle{15'000'000};
@@ -81,43 +80,52 @@
   friend bool operator==(const CallerLimits&, const CallerLimits&) = default;
 };
 
-/// \brief One whole configuration. Immutable once built by `BuildRouteTable`.
+/// \brief A complete routing configuration. Immutable once built by `BuildRouteTable`.
 struct RouteTable {
   std::int64_t m_version = 0;
   std::vector<Route> m_routes;
   std::vector<Pool> m_pools;
   std::vector<Workspace> m_workspaces;
   CallerLimits m_limits;
-  // Built from the above.
+  // Indexes that `BuildRouteTable` fills.
   std::map<std::string, std::vector<std::size_t>, std::less<>>
-      m_by_host;  ///< Longest prefix first.
-  std::map<std::string, std::size_t, std::less<>> m_by_key;
+      m_by_host;  ///< Route indexes by host, longest prefix first.
+  std::map<std::string, std::size_t, std::less<>> m_by_key;  ///< Workspace index by API key.
 
   friend bool operator==(const RouteTable&, const RouteTable&) = default;
 };
 
-/// \brief Checks a table and builds its look-ups.
-/// \return `kBadDeclaration` naming the route, pool or workspace at fault: an unknown pool, two
-/// routes in one place, weights that sum to zero, no timeout, a key of two workspaces.
+/// \brief Validates a table and builds its indexes.
+/// \return the table, or `kBadDeclaration` naming the route, pool or workspace at fault: an unknown
+/// or duplicate pool, two routes with the same host and prefix, weights that sum to zero, no
+/// timeout, an empty key or a key shared by two workspaces.
 [[nodiscard]] Result<RouteTable> BuildRouteTable(RouteTable table);
 
-/// \brief The route of `host` with the longest prefix that begins `path`, or null.
+/// \brief Finds the route of `host` with the longest prefix of `path`. A port in `host` and a query
+/// in `path` are ignored.
+/// \return a pointer into `table`, or null.
 [[nodiscard]] const Route* FindRoute(const RouteTable& table,
                                      std::string_view host,
                                      std::string_view path) noexcept;
-/// \brief The workspace that holds `key`, or null.
+/// \brief Returns the workspace that holds `key`, or null. The pointer is valid as long as `table`.
 [[nodiscard]] const Workspace* FindWorkspace(const RouteTable& table,
                                              std::string_view key) noexcept;
+/// \brief Returns the pool with this name, or null. The pointer is valid as long as `table`.
 [[nodiscard]] const Pool* FindPool(const RouteTable& table, std::string_view name) noexcept;
 
-/// \brief Where a request of a route and a workspace may be served: in regions that are homes of
-/// both, as far as each has homes.
+/// \brief Returns the regions where a request of this route and workspace may be served: the
+/// intersection of their home regions; an unrestricted side doesn't narrow it.
 [[nodiscard]] HomeRegions CommonHomes(const HomeRegions& route, const HomeRegions& workspace);
 
-/// \brief The pool of one request, by weight. `random` is uniform.
+/// \brief Picks a pool of the route by weight.
+/// \param random 64 uniformly distributed bits.
+/// Precondition: the route's weights sum to more than zero.
 [[nodiscard]] const std::string& PickPool(const Route& route, std::uint64_t random) noexcept;
 
-/// \brief What a request costs a workspace.
+/// \brief Returns the quota cost of a request: 1, or its tokens if the workspace's limit counts
+/// tokens.
+/// \param tokens prompt tokens plus maximum generated tokens; unset: the request doesn't state
+/// them.
 [[nodiscard]] double CostOf(const Workspace& workspace,
                             std::optional<std::int64_t> tokens) noexcept;
 
--- a/packages/forward/src/backend_call.cc
+++ b/packages/forward/src/backend_call.cc
@@ -11,19 +11,21 @@
 namespace poppyway {
 namespace {
 
-constexpr std::uint64_t kConnectMillis =
-    300;  // Servers are at most some ms away; a lost SYN costs 1 s.
+// Servers are at most some ms away; retransmitting a lost SYN takes 1 s.
+constexpr std::uint64_t kConnectMillis = 300;
 constexpr std::uint64_t kExpiryMillis = 250;
-constexpr Duration kSilence{
-    1'500'000};  // Unacknowledged bytes: the server's machine is out of reach.
-constexpr Duration kDefaultRest{3'000'000};  // Where a server doesn't say how long it keeps one.
-constexpr Duration kRestMargin{400'000};     // A request must not cross the server's own close.
-constexpr std::size_t kMostResting = 64;     // For one server.
-constexpr Duration kCarefulRest{
-    1'000'000};                      // For what must not be lost, a connection of late use only.
-constexpr unsigned kContinue = 200;  // Below: interim answers, to be passed over.
-
-/// True if the peer has closed or sent something: then the connection can't be used.
+// With bytes unacknowledged for this long, the server's machine is unreachable.
+constexpr Duration kDeadPeerTimeout{1'500'000};
+// Used if a server doesn't state its idle timeout.
+constexpr Duration kDefaultIdleLimit{3'000'000};
+constexpr Duration kIdleMargin{400'000};  // Keeps a request from crossing the server's own close.
+constexpr std::size_t kMaxIdle = 64;      // Idle connections kept for one server.
+// Longest idle time of a connection for a request that must not be lost.
+constexpr Duration kCarefulIdleLimit{1'000'000};
+// Lower status codes are interim responses, which are skipped.
+constexpr unsigned kFirstFinalStatus = 200;
+
+/// Returns true if the peer has closed the connection or sent bytes, so that it can't be reused.
 bool IsStale(h2o_socket_t* socket) {
   char byte = 0;
   const ssize_t got = recv(h2o_socket_get_fd(socket), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -38,19 +40,19 @@
       return "not_connected";
     case CallFault::kWithdrawn:
       return "withdrawn";
-    case CallFault::kSilentClose:
+    case CallFault::kClosedEarly:
       return "closed_early";
     case CallFault::kReset:
       return "reset";
-    case CallFault::kNoAnswer:
+    case CallFault::kNotHttp:
       return "not_http";
   }
   return "unknown";
 }
 
-struct BackendPool::Resting {
+struct BackendPool::IdleConnection {
   BackendPool* m_pool = nullptr;
-  Endpoint m_place;
+  Endpoint m_endpoint;
   h2o_socket_t* m_socket = nullptr;
   Instant m_since{};
   Instant m_until{};
@@ -65,75 +67,75 @@
 }
 
 BackendPool::~BackendPool() {
-  for (auto& [place, resting] : m_resting) {
-    for (const std::unique_ptr<Resting>& one : resting)
+  for (auto& [endpoint, idle] : m_idle) {
+    for (const std::unique_ptr<IdleConnection>& one : idle)
       h2o_socket_close(one->m_socket);
   }
   h2o_timeout_dispose(m_loop.loop(), &m_connect_limit);
   h2o_timeout_dispose(m_loop.loop(), &m_at_once);
 }
 
-h2o_socket_t* BackendPool::Take(const Endpoint& place, bool careful) {
-  const auto found = m_resting.find(place);
-  if (found == m_resting.end())
+h2o_socket_t* BackendPool::TakeIdle(const Endpoint& endpoint, bool careful) {
+  const auto found = m_idle.find(endpoint);
+  if (found == m_idle.end())
     return nullptr;
   const Instant now = ReadClock();
   while (!found->second.empty()) {
-    std::unique_ptr<Resting> resting = std::move(found->second.back());
+    std::unique_ptr<IdleConnection> idle = std::move(found->second.back());
     found->second.pop_back();
-    const bool old = now >= resting->m_until || (careful && now - resting->m_since > kCarefulRest);
-    if (old || IsStale(resting->m_socket)) {
-      h2o_socket_close(resting->m_socket);
+    const bool old = now >= idle->m_until || (careful && now - idle->m_since > kCarefulIdleLimit);
+    if (old || IsStale(idle->m_socket)) {
+      h2o_socket_close(idle->m_socket);
       continue;
     }
-    h2o_socket_read_stop(resting->m_socket);
-    return resting->m_socket;
+    h2o_socket_read_stop(idle->m_socket);
+    return idle->m_socket;
   }
   return nullptr;
 }
 
-void BackendPool::Rest(const Endpoint& place, h2o_socket_t* socket, Duration limit) {
-  std::vector<std::unique_ptr<Resting>>& resting = m_resting[place];
-  if (resting.size() >= kMostResting || limit <= Duration(0)) {
+void BackendPool::KeepIdle(const Endpoint& endpoint, h2o_socket_t* socket, Duration limit) {
+  std::vector<std::unique_ptr<IdleConnection>>& idle = m_idle[endpoint];
+  if (idle.size() >= kMaxIdle || limit <= Duration(0)) {
     h2o_socket_close(socket);
     return;
   }
-  auto one = std::make_unique<Resting>();
+  auto one = std::make_unique<IdleConnection>();
   one->m_pool = this;
-  one->m_place = place;
+  one->m_endpoint = endpoint;
   one->m_socket = socket;
   one->m_since = ReadClock();
   one->m_until = one->m_since + limit;
   socket->data = one.get();
-  h2o_socket_read_start(socket, &BackendPool::OnResting);
-  resting.push_back(std::move(one));
+  h2o_socket_read_start(socket, &BackendPool::OnIdleReadable);
+  idle.push_back(std::move(one));
 }
 
-/// A resting connection has nothing to say: bytes or a close end it.
-void BackendPool::OnResting(h2o_socket_t* socket, const char* /*fault*/) {
-  auto* resting = static_cast<Resting*>(socket->data);
-  resting->m_pool->Close(resting);
+/// No bytes are expected on an idle connection: bytes or a close end it.
+void BackendPool::OnIdleReadable(h2o_socket_t* socket, const char* /*fault*/) {
+  auto* idle = static_cast<IdleConnection*>(socket->data);
+  idle->m_pool->Close(idle);
 }
 
-void BackendPool::Close(Resting* resting) {
-  std::vector<std::unique_ptr<Resting>>& all = m_resting[resting->m_place];
-  h2o_socket_close(resting->m_socket);
-  std::erase_if(all, [resting](const auto& one) { return one.get() == resting; });
+void BackendPool::Close(IdleConnection* idle) {
+  std::vector<std::unique_ptr<IdleConnection>>& all = m_idle[idle->m_endpoint];
+  h2o_socket_close(idle->m_socket);
+  std::erase_if(all, [idle](const auto& one) { return one.get() == idle; });
 }
 
-void BackendPool::Forget(const Endpoint& place) {
-  const auto found = m_resting.find(place);
-  if (found == m_resting.end())
+void BackendPool::Forget(const Endpoint& endpoint) {
+  const auto found = m_idle.find(endpoint);
+  if (found == m_idle.end())
     return;
-  for (const std::unique_ptr<Resting>& one : found->second)
+  for (const std::unique_ptr<IdleConnection>& one : found->second)
     h2o_socket_close(one->m_socket);
-  m_resting.erase(found);
+  m_idle.erase(found);
 }
 
 void BackendPool::Expire() {
   const Instant now = ReadClock();
-  for (auto& [place, resting] : m_resting) {
-    std::erase_if(resting, [now](const std::unique_ptr<Resting>& one) {
+  for (auto& [endpoint, idle] : m_idle) {
+    std::erase_if(idle, [now](const std::unique_ptr<IdleConnection>& one) {
       if (now < one->m_until)
         return false;
       h2o_socket_close(one->m_socket);
@@ -143,22 +145,22 @@
 }
 
 BackendCall::BackendCall(BackendPool& pool,
-                         const Endpoint& place,
+                         const Endpoint& endpoint,
                          std::string request,
                          bool head_only,
                          bool careful,
                          CallEvents events)
     : m_pool(pool),
-      m_place(place),
+      m_endpoint(endpoint),
       m_request(std::move(request)),
       m_head_only(head_only),
       m_events(std::move(events)),
-      m_keep_alive(kDefaultRest) {
+      m_keep_alive(kDefaultIdleLimit) {
   http_parser_init(&m_parser, HTTP_RESPONSE);
   m_parser.data = this;
   m_timer.m_base.cb = &BackendCall::OnTimer;
   m_timer.m_owner = this;
-  m_socket = pool.Take(place, careful);
+  m_socket = pool.TakeIdle(endpoint, careful);
   if (m_socket == nullptr) {
     Connect();
     return;
@@ -186,7 +188,7 @@
 }
 
 void BackendCall::Cancel() {
-  m_silent = true;
+  m_detached = true;
   m_cancelled = true;
   if (!m_parsing)
     CloseSocket();
@@ -195,8 +197,8 @@
 void BackendCall::Connect() {
   sockaddr_in where{};
   where.sin_family = AF_INET;
-  where.sin_port = htons(m_place.m_port);
-  inet_pton(AF_INET, m_place.m_address.c_str(), &where.sin_addr);
+  where.sin_port = htons(m_endpoint.m_port);
+  inet_pton(AF_INET, m_endpoint.m_address.c_str(), &where.sin_addr);
   ++m_pool.m_opened;
   m_connect_begun = ReadClock();
   m_socket = h2o_socket_connect(m_pool.m_loop.loop(), reinterpret_cast<sockaddr*>(&where),
@@ -225,8 +227,8 @@
     return;
   }
   self->m_connect_time = ReadClock() - self->m_connect_begun;
-  SetDeadPeerTimeout(h2o_socket_get_fd(socket), kSilence);
-  if (!self->m_silent && self->m_events.m_may_send())
+  SetDeadPeerTimeout(h2o_socket_get_fd(socket), kDeadPeerTimeout);
+  if (!self->m_detached && self->m_events.m_may_send())
     self->Send();
   else
     self->Fail(CallFault::kWithdrawn);
@@ -241,7 +243,7 @@
 void BackendCall::OnWritten(h2o_socket_t* socket, const char* fault) {
   auto* self = static_cast<BackendCall*>(socket->data);
   self->m_written = fault == nullptr;
-  // After a failed write the server may still have answered; reading tells.
+  // After a failed write the server may still have responded, which reading shows.
 }
 
 void BackendCall::OnReadable(h2o_socket_t* socket, const char* fault) {
@@ -288,9 +290,9 @@
       continue;
     if (fault == HPE_PAUSED) {
       http_parser_pause(&m_parser, 0);
-      continue;  // Between two messages, or complete.
+      continue;  // The parser pauses after each message; the loop ends if the response is complete.
     }
-    Fail(CallFault::kNoAnswer);
+    Fail(CallFault::kNotHttp);
     return;
   }
 }
@@ -301,14 +303,14 @@
     Fail(CallFault::kReset);
     return;
   }
-  // The end of the connection ends an answer of unstated length, and only that: the parser knows.
-  m_surplus = true;
+  // A close completes a response without a stated length, and no other; the parser decides.
+  m_not_reusable = true;
   http_parser_execute(&m_parser, &Settings(), nullptr, 0);
   if (m_complete) {
     Finish();
     return;
   }
-  Fail(CallFault::kSilentClose);
+  Fail(CallFault::kClosedEarly);
 }
 
 int BackendCall::OnStatusBegin(http_parser* parser) {
@@ -342,30 +344,30 @@
 int BackendCall::OnHeadComplete(http_parser* parser) {
   constexpr int kNoBody = 1;
   auto* self = static_cast<BackendCall*>(parser->data);
-  if (parser->status_code < kContinue)
+  if (parser->status_code < kFirstFinalStatus)
     return kNoBody;
   self->m_head_done = true;
   self->m_skipping = false;
-  if (self->m_silent)
+  if (self->m_detached)
     return 0;
   const HeadVerdict verdict =
       self->m_events.m_on_head(static_cast<int>(parser->status_code), std::move(self->m_fields));
   self->m_fields.clear();
   self->m_skipping = verdict == HeadVerdict::kSkip;
-  self->m_surplus = self->m_surplus || self->m_skipping;
+  self->m_not_reusable = self->m_not_reusable || self->m_skipping;
   return self->m_head_only ? kNoBody : 0;
 }
 
 int BackendCall::OnBody(http_parser* parser, const char* at, std::size_t length) {
   auto* self = static_cast<BackendCall*>(parser->data);
-  if (!self->m_silent && !self->m_skipping)
+  if (!self->m_detached && !self->m_skipping)
     self->m_events.m_on_data(std::string_view(at, length));
   return 0;
 }
 
 int BackendCall::OnMessageComplete(http_parser* parser) {
   auto* self = static_cast<BackendCall*>(parser->data);
-  const bool interim = parser->status_code < kContinue;
+  const bool interim = parser->status_code < kFirstFinalStatus;
   if (!interim && !self->m_skipping)
     self->m_complete = true;
   http_parser_pause(parser, 1);
@@ -376,24 +378,24 @@
   h2o_socket_t* socket = m_socket;
   m_socket = nullptr;
   h2o_socket_read_stop(socket);
-  const bool keep = m_written && !m_surplus && !m_silent &&
+  const bool keep = m_written && !m_not_reusable && !m_detached &&
                     http_should_keep_alive(&m_parser) != 0 && socket->input->size == 0;
   if (keep)
-    m_pool.Rest(m_place, socket, m_keep_alive - kRestMargin);
+    m_pool.KeepIdle(m_endpoint, socket, m_keep_alive - kIdleMargin);
   else
     h2o_socket_close(socket);
-  if (m_silent)
+  if (m_detached)
     return;
-  m_silent = true;
+  m_detached = true;
   const auto on_whole = std::move(m_events.m_on_complete);
   on_whole();
 }
 
 void BackendCall::Fail(CallFault fault) {
   CloseSocket();
-  if (m_silent)
+  if (m_detached)
     return;
-  m_silent = true;
+  m_detached = true;
   const auto on_fault = std::move(m_events.m_on_fault);
   on_fault(fault);
 }
--- a/packages/forward/src/backends.cc
+++ b/packages/forward/src/backends.cc
@@ -7,43 +7,46 @@
 namespace poppyway::impl {
 namespace {
 
-// Of a longer list, as an instance gets it when it starts, only the length is logged.
-constexpr std::size_t kMostLogged = 64;
+// For a longer list, as an instance gets at its start, only the length is logged.
+constexpr std::size_t kMaxLogged = 64;
 
-/// A record of a server that is gone is kept while requests still count on it.
+/// Erases servers that are gone and have no requests in flight, which still refer to them.
 void DropUnused(ForwarderState& state) {
   std::erase_if(state.m_backends, [&state](const auto& entry) {
     const Backend& backend = entry.second;
     const bool gone = backend.m_record.stage == wire::ServerStage::GONE;
     if (!gone || backend.m_in_flight > 0)
       return false;
-    state.m_connections->Forget(backend.m_place);
-    std::erase(state.m_at_place[backend.m_place], entry.first);
-    if (state.m_at_place[backend.m_place].empty())
-      state.m_at_place.erase(backend.m_place);
+    state.m_connections->Forget(backend.m_endpoint);
+    std::erase(state.m_by_address[backend.m_endpoint], entry.first);
+    if (state.m_by_address[backend.m_endpoint].empty())
+      state.m_by_address.erase(backend.m_endpoint);
     return true;
   });
 }
 
-/// A new server at the place of others: those are gone, whether they said so or not. The look-up
-/// by place keeps a whole list linear: an instance with a quarter of a core that compared each of
-/// 3,000 servers with all others spent seconds of its start on it.
-void RetireOthers(ForwarderState& state, const std::string& server) {
-  for (const std::string& id : state.m_at_place[state.m_backends.at(server).m_place]) {
+/// Marks all other servers at the address of a new server as replaced: they are gone, even without
+/// a notice. The index by address makes a full list take linear time: comparing each of 3,000
+/// servers with all others took seconds of the start of an instance with a quarter of a core.
+void ReplaceOthers(ForwarderState& state, const std::string& server) {
+  for (const std::string& id : state.m_by_address[state.m_backends.at(server).m_endpoint]) {
     if (id != server)
       state.m_backends.at(id).m_replaced = true;
   }
 }
 
-void Locate(ForwarderState& state, Backend& backend, const std::string& id, const Endpoint& place) {
-  std::vector<std::string>& here = state.m_at_place[place];
-  if (backend.m_place == place && std::find(here.begin(), here.end(), id) != here.end())
+void SetAddress(ForwarderState& state,
+                Backend& backend,
+                const std::string& id,
+                const Endpoint& endpoint) {
+  std::vector<std::string>& ids = state.m_by_address[endpoint];
+  if (backend.m_endpoint == endpoint && std::find(ids.begin(), ids.end(), id) != ids.end())
     return;
-  const auto before = state.m_at_place.find(backend.m_place);
-  if (before != state.m_at_place.end())
+  const auto before = state.m_by_address.find(backend.m_endpoint);
+  if (before != state.m_by_address.end())
     std::erase(before->second, id);
-  backend.m_place = place;
-  here.push_back(id);
+  backend.m_endpoint = endpoint;
+  ids.push_back(id);
 }
 
 void LogServer(const wire::ServerRecord& record) {
@@ -55,9 +58,10 @@
       .Field("log_index", record.index);
 }
 
-/// In the order in which they changed: of two at one place the later one is there now. A whole
-/// list, as an instance gets it when it starts, comes in the order of ids.
-std::vector<const wire::ServerRecord*> ByChange(const std::vector<wire::ServerRecord>& records) {
+/// Sorts records by the index of their change, since of two servers at one address the later one is
+/// there now. A full list, as an instance gets at its start, is sorted by id.
+std::vector<const wire::ServerRecord*> SortedByIndex(
+    const std::vector<wire::ServerRecord>& records) {
   std::vector<const wire::ServerRecord*> ordered;
   ordered.reserve(records.size());
   for (const wire::ServerRecord& record : records)
@@ -67,12 +71,12 @@
   return ordered;
 }
 
-std::int64_t KeptTokens(const Backend& backend, const CallerRequest& request) {
+std::int64_t CachedTokens(const Backend& backend, const CallerRequest& request) {
   std::int64_t kept = 0;
-  for (const PromptSegment& part : request.m_prompt_segments) {
-    if (!backend.m_prompt_segments.contains(part.m_id))
-      break;  // A part is only of use with all those before it.
-    kept += part.m_tokens;
+  for (const PromptSegment& segment : request.m_prompt_segments) {
+    if (!backend.m_prompt_segments.contains(segment.m_id))
+      break;  // A cached segment is of use only with all segments before it.
+    kept += segment.m_tokens;
   }
   return kept;
 }
@@ -86,7 +90,7 @@
   view.m_own_in_flight = backend.m_in_flight;
   view.m_available_slots = SlotsWithoutBroker(state, backend) - backend.m_in_flight;
   view.m_pending_prefill_tokens = backend.m_pending_prefill_tokens;
-  view.m_cached_tokens = KeptTokens(backend, forwarding.m_request);
+  view.m_cached_tokens = CachedTokens(backend, forwarding.m_request);
   view.m_performance = backend.m_performance;
   view.m_same_data_centre = backend.m_record.data_centre == state.m_settings.m_data_centre;
   view.m_round_trip =
@@ -94,7 +98,7 @@
   return view;
 }
 
-/// Cold servers get what no warm one has room for.
+/// Chooses a cold server only if no warm one has a free slot.
 std::optional<ServerChoice> ChooseWarmFirst(ForwarderState& state,
                                             const std::vector<std::string>& ids,
                                             std::vector<ServerView> views,
@@ -103,7 +107,7 @@
   const ServerPerformance typical = AveragePerformance(views);
   const std::uint64_t random = state.m_random();
   const bool may_be_cold =
-      ColdLimitOf(state, state.m_backends.at(ids[0]).m_record.pool).m_per_s > 0;
+      SlowStartLimitOf(state, state.m_backends.at(ids[0]).m_record.pool).m_per_s > 0;
   if (may_be_cold) {
     std::vector<ServerView> warm = views;
     for (std::size_t i = 0; i < ids.size(); ++i)
@@ -125,44 +129,47 @@
   }
 }
 
-void TakeServer(ForwarderState& state, const wire::ServerRecord& record, bool fresh, Instant now) {
+void UpdateServer(ForwarderState& state,
+                  const wire::ServerRecord& record,
+                  bool fresh,
+                  Instant now) {
   const bool known = state.m_backends.contains(record.id);
   if (!known && record.stage == wire::ServerStage::GONE)
     return;
-  const Endpoint place{record.address, static_cast<std::uint16_t>(record.port)};
+  const Endpoint endpoint{record.address, static_cast<std::uint16_t>(record.port)};
   Backend& backend = state.m_backends[record.id];
   if (record.born > 0 && record.born < backend.m_record.born)
-    return;  // Late news of an earlier life.
-  const bool new_life = IsNewLife(backend, record);
-  if (new_life)
-    BeginLife(state, backend, record);
+    return;  // The record is of an earlier process and arrived late.
+  const bool restarted = IsNewProcess(backend, record);
+  if (restarted)
+    BeginNewProcess(state, backend, record);
   else if (known && record.born > backend.m_record.born)
-    TakeBirth(state, record.id, record.born);
+    SetCallStartTimes(state, record.id, record.born);
   backend.m_record = record;
-  Locate(state, backend, record.id, place);
-  // What a server says itself is newer than what the registry was told of it, which may lag by an
-  // acknowledgement that the server waits for, or never come.
+  SetAddress(state, backend, record.id, endpoint);
+  // A drain notice of the server itself is newer than the registry's record, which may lag by an
+  // acknowledgement that the server waits for, or may never arrive.
   backend.m_leaving = record.stage != wire::ServerStage::READY || backend.m_announced_leaving;
-  if ((!known || new_life) && !backend.m_leaving)
-    RetireOthers(state, record.id);
+  if ((!known || restarted) && !backend.m_leaving)
+    ReplaceOthers(state, record.id);
   UpdateSlowStart(state, backend, fresh, now);
 }
 
-void TakeServers(ForwarderState& state, const std::vector<wire::ServerRecord>& records) {
-  // The first list is of servers that were there before this instance.
+void UpdateServers(ForwarderState& state, const std::vector<wire::ServerRecord>& records) {
+  // The servers of the first list existed before this instance started.
   const bool serving = !state.m_backends.empty();
   const Instant now = ReadClock();
-  for (const wire::ServerRecord* record : ByChange(records)) {
+  for (const wire::ServerRecord* record : SortedByIndex(records)) {
     const bool known = state.m_backends.contains(record->id);
-    TakeServer(state, *record, serving && !known, now);
-    if (records.size() <= kMostLogged)
+    UpdateServer(state, *record, serving && !known, now);
+    if (records.size() <= kMaxLogged)
       LogServer(*record);
   }
-  if (records.size() > kMostLogged)
+  if (records.size() > kMaxLogged)
     POPPYWAY_LOG(info, "servers_changed").Field("servers", records.size());
   DropUnused(state);
   IndexPools(state);
-  WatchServers(state);
+  UpdateWatchedServers(state);
   for (const auto& [name, pool] : state.m_pools)
     ServeQueue(state, name);
 }
@@ -179,7 +186,7 @@
   if (ids.empty())
     return std::nullopt;
   const Instant now = ReadClock();
-  BeginColdAlone(state, forwarding.m_pool->m_name, now);
+  BeginColdSendsWithoutBroker(state, forwarding.m_pool->m_name, now);
   const RoundTrips trips =
       RoundTripsFrom(state.m_round_trip_table,
                      RegionOf(state.m_settings.m_regions, state.m_settings.m_data_centre));
@@ -191,13 +198,13 @@
     const IneligibleReason reason = CheckServerEligibility(state, forwarding, backend, now);
     views.push_back(ViewOf(state, forwarding, backend, trips));
     views.back().m_usable = reason == IneligibleReason::kNone;
-    // A cold server that has got as much as it may is in use; one that is suspect too isn't.
+    // A cold server at its limit counts as in use, unless it is suspect as well.
     const bool cold_in_use =
-        reason == IneligibleReason::kCold && !IsSuspectAlone(state, backend, now);
+        reason == IneligibleReason::kCold && !IsSuspectLocally(state, backend, now);
     any = any || views.back().m_usable || cold_in_use;
   }
   if (!any)
-    UseLastResorts(state, forwarding, ids, views, now);
+    UseFallbackServers(state, forwarding, ids, views, now);
   RequestShape shape;
   shape.m_tier = forwarding.m_route->m_tier;
   shape.m_yields_to_higher_priority = yields;
@@ -223,29 +230,29 @@
                    RegionOf(settings.m_regions, backend.m_record.data_centre));
 }
 
-void LearnConnect(ForwarderState& state,
-                  Forwarding& forwarding,
-                  const Backend& backend,
-                  Duration connect) {
+void RecordConnectTime(ForwarderState& state,
+                       Forwarding& forwarding,
+                       const Backend& backend,
+                       Duration connect) {
   const ForwarderSettings& settings = state.m_settings;
   forwarding.m_report.m_connect = connect;
   ObserveConnect(state.m_round_trip_table, RegionOf(settings.m_regions, settings.m_data_centre),
                  RegionOf(settings.m_regions, backend.m_record.data_centre), connect);
 }
 
-void NoteHealth(ForwarderState& state, Forwarding& forwarding, HealthSignal sign) {
-  forwarding.m_report.m_health_signal = sign;
+void RecordHealth(ForwarderState& state, Forwarding& forwarding, HealthSignal signal) {
+  forwarding.m_report.m_health_signal = signal;
   const std::string& server = forwarding.m_server;
-  Backend* backend = FindOwnBackend(state, forwarding);
+  Backend* backend = FindCalledBackend(state, forwarding);
   if (backend == nullptr)
     return;
   const Instant now = ReadClock();
-  const bool avoided = IsEjected(backend->m_health, now);
-  backend->m_health = Observe(backend->m_health, sign, now);
-  // A whole answer that is a failure comes from a server that runs.
+  const bool was_ejected = IsEjected(backend->m_health, now);
+  backend->m_health = Observe(backend->m_health, signal, now);
+  // A complete error response shows that the server process runs.
   if (!forwarding.m_report.m_failed)
-    ObserveRestartSign(state, *backend, sign, now);
-  if (avoided || !IsEjected(backend->m_health, now))
+    ObserveRestartSign(state, *backend, signal, now);
+  if (was_ejected || !IsEjected(backend->m_health, now))
     return;
   POPPYWAY_LOG(info, "server_avoided")
       .Field("server", server)
@@ -254,11 +261,11 @@
       .Field("for_ms", (backend->m_health.m_ejected_until - now).count() / 1000);
 }
 
-void NoteOtherServer(ForwarderState& state, const std::string& meant, const std::string& found) {
+void RecordReplacement(ForwarderState& state, const std::string& meant, const std::string& found) {
   if (Backend* backend = FindBackend(state, meant))
     backend->m_replaced = true;
   Backend* other = FindBackend(state, found);
-  // A late first word of a server that is gone may have retired the one that took its place.
+  // The registration of a gone server may arrive late and mark its successor as replaced.
   const bool restored = other != nullptr && other->m_replaced;
   if (restored)
     other->m_replaced = false;
--- a/packages/forward/src/broker_link.cc
+++ b/packages/forward/src/broker_link.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Place requests and their answers, and what the broker is told of places held.
+// Slot requests to the broker, its responses, and reports about held slots.
 #include <algorithm>
 
 #include "steps.h"
@@ -8,15 +8,17 @@
 namespace poppyway::impl {
 namespace {
 
-// A broker answers within some ms; a machine that has used up its share of the processor may stand
-// still for the rest of a tenth of a second.
-constexpr Duration kAskPatience{100'000};
-// Two packets of one connection lost in a row hold it up for 200 and 400 ms. At 3.4 % of packets
-// lost, instances of one data centre took a living broker for lost 80 to 100 times a second when
-// the patience for one answer decided it.
-constexpr Duration kBrokerSilence{1'000'000};
+// A broker responds within some ms, but a machine that has used up its CPU quota may stall for the
+// rest of a 100 ms period.
+constexpr Duration kSlotResponseTimeout{100'000};
+// Two consecutive lost packets stall a connection for 200 and 400 ms. At 3.4 % packet loss, with
+// the timeout of a single response as the criterion, the instances of one data centre considered a
+// live broker lost 80 to 100 times a second.
+constexpr Duration kBrokerTimeout{1'000'000};
 
-SlotRequest MakeAsk(const ForwarderState& state, const Forwarding& forwarding, Instant now) {
+SlotRequest MakeSlotRequest(const ForwarderState& state,
+                            const Forwarding& forwarding,
+                            Instant now) {
   const Route& route = *forwarding.m_route;
   SlotRequest slot_request;
   slot_request.m_ref = forwarding.m_slot_request;
@@ -51,14 +53,14 @@
   HeldSlot held;
   held.m_ref = forwarding.m_slot;
   held.m_server = forwarding.m_server;
-  held.m_pending_prefill_tokens = forwarding.m_read_tokens;
+  held.m_pending_prefill_tokens = forwarding.m_prefill_tokens;
   held.m_expected_tokens = forwarding.m_request.m_expected_tokens;
   held.m_started_ms = forwarding.m_server_started_ms;
   return held;
 }
 
-/// The place isn't used: it goes back at once.
-void ReturnPlace(ForwarderState& state, SlotRef ref) {
+/// Returns an unused slot to the broker at once.
+void ReturnSlot(ForwarderState& state, SlotRef ref) {
   SlotReport report;
   report.m_ref = ref;
   report.m_ended = true;
@@ -67,15 +69,17 @@
   FlushToBroker(state);
 }
 
-void RememberLeft(ForwarderState& state, const Forwarding& forwarding, const SlotResponse& answer) {
+void RememberLimitLeft(ForwarderState& state,
+                       const Forwarding& forwarding,
+                       const SlotResponse& answer) {
   if (forwarding.m_quota.m_cost <= 0 || answer.m_verdict == SlotVerdict::kQueued)
     return;
-  state.m_broker.m_left[forwarding.m_workspace->m_name] = {answer.m_limit_left, forwarding.m_limit,
-                                                           ReadClock(), state.m_broker.m_epoch};
+  state.m_broker.m_limits_left[forwarding.m_workspace->m_name] = {
+      answer.m_limit_left, forwarding.m_limit, ReadClock(), state.m_broker.m_epoch};
 }
 
-void UsePlace(ForwarderState& state, Forwarding& forwarding, const SlotResponse& answer) {
-  HearOfLife(state, answer);
+void UseSlot(ForwarderState& state, Forwarding& forwarding, const SlotResponse& answer) {
+  HandleRestartInSlot(state, answer);
   const Backend* backend = FindBackend(state, answer.m_server);
   const Instant now = ReadClock();
   const bool confirmed = forwarding.m_workspace == nullptr || now < state.m_confirmed_until;
@@ -90,10 +94,10 @@
         .Field("known", backend != nullptr)
         .Field("bar", IneligibleReasonName(reason))
         .Field("confirmed", confirmed);
-    ReturnPlace(state, answer.m_ref);
+    ReturnSlot(state, answer.m_ref);
     forwarding.m_tried.push_back(answer.m_server);
     if (state.m_broker.m_active)
-      AskBroker(state, forwarding);
+      RequestSlot(state, forwarding);
     return;
   }
   state.m_pools[forwarding.m_pool->m_name].m_waiting.erase(OrderOf(forwarding));
@@ -118,8 +122,8 @@
   forwarding.m_estimated_wait = answer.m_estimated_wait;
   if (answer.m_verdict == SlotVerdict::kOverLimit)
     LogOverLimit(forwarding, answer);
-  if (forwarding.m_unsure > 0) {
-    Refuse(state, forwarding, ResultCode::kOutcomeUnknown, "no other server had room");
+  if (forwarding.m_possible_runs > 0) {
+    Refuse(state, forwarding, ResultCode::kOutcomeUnknown, "no other server had a free slot");
     return;
   }
   switch (answer.m_verdict) {
@@ -132,103 +136,104 @@
                                                     : "the pool has no server");
       return;
     default:
-      Refuse(state, forwarding, ResultCode::kOverload, "no server had room in time");
+      Refuse(state, forwarding, ResultCode::kOverload, "no server had a free slot in time");
   }
 }
 
-void TakeAnswer(ForwarderState& state, const SlotResponse& answer) {
+void HandleSlotResponse(ForwarderState& state, const SlotResponse& answer) {
   BrokerLink& link = state.m_broker;
-  const auto asked = link.m_asked.find(answer.m_ref);
-  Forwarding* forwarding = asked == link.m_asked.end() ? nullptr : Find(state, asked->second);
+  const auto pending = link.m_pending_requests.find(answer.m_ref);
+  Forwarding* forwarding =
+      pending == link.m_pending_requests.end() ? nullptr : Find(state, pending->second);
   const bool awaited = forwarding != nullptr && forwarding->m_slot_request == answer.m_ref;
   if (!awaited) {
     if (answer.m_verdict == SlotVerdict::kPlaced)
-      ReturnPlace(state, answer.m_ref);
+      ReturnSlot(state, answer.m_ref);
     return;
   }
-  RememberLeft(state, *forwarding, answer);
+  RememberLimitLeft(state, *forwarding, answer);
   if (answer.m_verdict == SlotVerdict::kQueued) {
     forwarding->m_queued = true;
     return;
   }
-  link.m_asked.erase(asked);
+  link.m_pending_requests.erase(pending);
   forwarding->m_slot_request = 0;
   if (answer.m_verdict == SlotVerdict::kPlaced)
-    UsePlace(state, *forwarding, answer);
+    UseSlot(state, *forwarding, answer);
   else
     RefuseByBroker(state, *forwarding, answer);
 }
 
-/// What a new broker has to know of limits.
+/// Returns the state of all limits for a new broker.
 std::vector<LimitReport> LimitReports(const BrokerLink& link, Instant now) {
-  std::map<std::string, LimitReport> words;
-  for (const auto& [workspace, left] : link.m_left)
-    words[workspace] = {workspace,         left.m_limit, left.m_limit_left,
-                        now - left.m_told, left.m_epoch, 0};
-  for (const auto& [workspace, lone] : link.m_local_quota) {
-    LimitReport& report = words[workspace];
+  std::map<std::string, LimitReport> reports;
+  for (const auto& [workspace, left] : link.m_limits_left)
+    reports[workspace] = {
+        workspace, left.m_limit, left.m_limit_left, now - left.m_reported_at, left.m_epoch, 0};
+  for (const auto& [workspace, bucket] : link.m_local_quota) {
+    LimitReport& report = reports[workspace];
     report.m_workspace = workspace;
-    report.m_limit = lone.m_limit;
-    report.m_charged_without_broker = lone.m_spent;
+    report.m_limit = bucket.m_limit;
+    report.m_charged_without_broker = bucket.m_spent;
   }
   std::vector<LimitReport> list;
-  for (auto& [workspace, word] : words)
-    list.push_back(std::move(word));
+  for (auto& [workspace, report] : reports)
+    list.push_back(std::move(report));
   return list;
 }
 
-/// Their answers, should they come, are no longer awaited.
-void ForgetAsks(ForwarderState& state) {
-  for (const auto& [ask, ref] : state.m_broker.m_asked) {
+/// Forgets all pending slot requests; late responses are ignored, and slots in them returned.
+void ForgetSlotRequests(ForwarderState& state) {
+  for (const auto& [slot_request, ref] : state.m_broker.m_pending_requests) {
     if (Forwarding* forwarding = Find(state, ref))
       forwarding->m_slot_request = 0;
   }
-  state.m_broker.m_asked.clear();
+  state.m_broker.m_pending_requests.clear();
 }
 
-/// Those places are nobody else's while the broker's word doesn't arrive.
-void KeepOwnPlaces(ForwarderState& state) {
+/// Records the slots held now, which no other instance uses while the broker doesn't respond.
+void KeepOwnSlots(ForwarderState& state) {
   for (auto& [id, backend] : state.m_backends)
-    backend.m_own_before = backend.m_in_flight;
+    backend.m_in_flight_at_loss = backend.m_in_flight;
 }
 
-/// Requests whose place requests have had no word are decided here from now on. What waits in the
-/// broker's queue goes on to wait there.
-void BeginQuiet(ForwarderState& state, Instant now) {
+/// Cancels slot requests without any response; this instance places these requests itself from now
+/// on. Requests in the broker's queue stay there.
+void OnBrokerOverdue(ForwarderState& state, Instant now) {
   BrokerLink& link = state.m_broker;
-  link.m_quiet_since = now;
-  std::vector<Forwarding*> without_word;
-  for (const auto& [ask, ref] : link.m_asked) {
+  link.m_overdue_since = now;
+  std::vector<Forwarding*> unanswered;
+  for (const auto& [slot_request, ref] : link.m_pending_requests) {
     Forwarding* forwarding = Find(state, ref);
     if (forwarding != nullptr && !forwarding->m_queued)
-      without_word.push_back(forwarding);
+      unanswered.push_back(forwarding);
   }
   POPPYWAY_LOG(info, "broker_quiet")
       .Field("epoch", link.m_epoch)
-      .Field("awaited", link.m_asked.size())
-      .Field("without_word", without_word.size());
-  KeepOwnPlaces(state);
-  for (Forwarding* forwarding : without_word)
-    WithdrawAsk(state, *forwarding);
+      .Field("awaited", link.m_pending_requests.size())
+      .Field("without_word", unanswered.size());
+  KeepOwnSlots(state);
+  for (Forwarding* forwarding : unanswered)
+    CancelSlotRequest(state, *forwarding);
   for (const auto& [name, pool] : state.m_pools)
     ServeQueue(state, name);
 }
 
-/// What was spent of limits while the broker was quiet.
-void TellLone(ForwarderState& state) {
+/// Reports the quota that was charged locally while the broker was overdue.
+void ReportLocalCharges(ForwarderState& state) {
   BrokerLink& link = state.m_broker;
-  for (const auto& [workspace, lone] : link.m_local_quota) {
+  for (const auto& [workspace, bucket] : link.m_local_quota) {
     LimitReport report;
     report.m_workspace = workspace;
-    report.m_limit = lone.m_limit;
-    report.m_charged_without_broker = lone.m_spent;
+    report.m_limit = bucket.m_limit;
+    report.m_charged_without_broker = bucket.m_spent;
     link.m_outbox.m_limits.push_back(std::move(report));
   }
   link.m_local_quota.clear();
   FlushToBroker(state);
 }
 
-void AskForAllThatWaits(ForwarderState& state) {
+void RequestSlotsForQueue(ForwarderState& state) {
   std::vector<ForwardingRef> waiting;
   for (const auto& [name, pool] : state.m_pools) {
     for (const auto& [order, ref] : pool.m_waiting)
@@ -238,51 +243,51 @@
     Forwarding* forwarding = Find(state, ref);
     if (forwarding == nullptr || forwarding->m_slot_request != 0)
       continue;
-    RefundWithoutBroker(state, *forwarding);  // The broker charges it.
-    AskBroker(state, *forwarding);
+    RefundWithoutBroker(state, *forwarding);  // The broker charges the request.
+    RequestSlot(state, *forwarding);
   }
 }
 
 }  // namespace
 
-void AskBroker(ForwarderState& state, Forwarding& forwarding) {
+void RequestSlot(ForwarderState& state, Forwarding& forwarding) {
   BrokerLink& link = state.m_broker;
   const Instant now = ReadClock();
   forwarding.m_slot_request = link.m_next_ref++;
-  forwarding.m_asked = now;
+  forwarding.m_slot_requested_at = now;
   forwarding.m_queued = false;
-  link.m_asked[forwarding.m_slot_request] = forwarding.m_ref;
-  link.m_outbox.m_slot_requests.push_back(MakeAsk(state, forwarding, now));
+  link.m_pending_requests[forwarding.m_slot_request] = forwarding.m_ref;
+  link.m_outbox.m_slot_requests.push_back(MakeSlotRequest(state, forwarding, now));
   FlushToBroker(state);
 }
 
-void WithdrawAsk(ForwarderState& state, Forwarding& forwarding) {
+void CancelSlotRequest(ForwarderState& state, Forwarding& forwarding) {
   if (forwarding.m_slot_request == 0)
     return;
-  state.m_broker.m_asked.erase(forwarding.m_slot_request);
+  state.m_broker.m_pending_requests.erase(forwarding.m_slot_request);
   state.m_broker.m_outbox.m_cancelled_requests.push_back(forwarding.m_slot_request);
   forwarding.m_slot_request = 0;
   FlushToBroker(state);
 }
 
-void TakeAnswers(ForwarderState& state, const SlotResponses& message) {
+void HandleSlotResponses(ForwarderState& state, const SlotResponses& message) {
   BrokerLink& link = state.m_broker;
   if (!link.m_active || message.m_epoch != link.m_epoch)
     return;
-  const bool was_quiet = IsQuiet(link);
-  if (was_quiet) {
+  const bool was_overdue = IsBrokerOverdue(link);
+  if (was_overdue) {
     POPPYWAY_LOG(info, "broker_heard")
         .Field("epoch", link.m_epoch)
-        .Field("quiet_ms", (ReadClock() - link.m_quiet_since).count() / 1000);
-    link.m_quiet_since = {};
+        .Field("quiet_ms", (ReadClock() - link.m_overdue_since).count() / 1000);
+    link.m_overdue_since = {};
   }
   if (message.m_suspects)
-    TakeSuspects(state, *message.m_suspects);
+    HandleSuspects(state, *message.m_suspects);
   for (const SlotResponse& answer : message.m_answers)
-    TakeAnswer(state, answer);
-  if (was_quiet) {
-    AskForAllThatWaits(state);  // Which the broker charges, so it is no longer spent here.
-    TellLone(state);
+    HandleSlotResponse(state, answer);
+  if (was_overdue) {
+    RequestSlotsForQueue(state);  // Refunds local charges first, so that they aren't reported.
+    ReportLocalCharges(state);
   }
 }
 
@@ -290,15 +295,15 @@
   BrokerLink& link = state.m_broker;
   const Instant now = ReadClock();
   link.m_active = true;
-  link.m_quiet_since = {};
+  link.m_overdue_since = {};
   link.m_epoch = message.m_epoch;
-  ForgetAsks(state);         // Those of a former broker.
-  state.m_suspects.clear();  // The new broker says anew what it finds.
+  ForgetSlotRequests(state);  // They were sent to a former broker.
+  state.m_suspects.clear();   // The new broker sends its own list.
   link.m_outbox = {};
   link.m_outbox.m_resync = true;
   link.m_outbox.m_instances = state.m_instances.m_recent_max;
   link.m_outbox.m_limits = LimitReports(link, now);
-  link.m_outbox.m_notices = WordsInForce(state, now);
+  link.m_outbox.m_notices = CurrentNotices(state, now);
   link.m_local_quota.clear();
   for (const auto& [ref, forwarding] : state.m_forwardings) {
     if (forwarding->m_slot != 0)
@@ -309,7 +314,7 @@
       .Field("held", link.m_outbox.m_held.size())
       .Field("instances", state.m_instances.m_recent_max);
   FlushToBroker(state);
-  AskForAllThatWaits(state);
+  RequestSlotsForQueue(state);
 }
 
 void OnBrokerLost(ForwarderState& state, std::string_view why) {
@@ -317,45 +322,46 @@
   if (!link.m_active)
     return;
   link.m_active = false;
-  link.m_quiet_since = {};
+  link.m_overdue_since = {};
   link.m_outbox = {};
   state.m_suspects.clear();
   POPPYWAY_LOG(info, "broker_lost")
       .Field("why", why)
       .Field("epoch", link.m_epoch)
-      .Field("awaited", link.m_asked.size());
-  KeepOwnPlaces(state);
-  ForgetAsks(state);
+      .Field("awaited", link.m_pending_requests.size());
+  KeepOwnSlots(state);
+  ForgetSlotRequests(state);
   for (const auto& [name, pool] : state.m_pools)
     ServeQueue(state, name);
 }
 
 void CheckBroker(ForwarderState& state, Instant now) {
   BrokerLink& link = state.m_broker;
-  if (IsQuiet(link)) {
-    if (now - link.m_quiet_since < kBrokerSilence)
+  if (IsBrokerOverdue(link)) {
+    if (now - link.m_overdue_since < kBrokerTimeout)
       return;
     OnBrokerLost(state, "silent");
     if (link.m_port.m_on_unresponsive)
       link.m_port.m_on_unresponsive();
     return;
   }
-  const bool silent =
-      std::any_of(link.m_asked.begin(), link.m_asked.end(), [&state, now](const auto& asked) {
-        const Forwarding* forwarding = Find(state, asked.second);
-        return forwarding != nullptr && !forwarding->m_queued &&
-               now - forwarding->m_asked > kAskPatience;
-      });
-  if (silent)
-    BeginQuiet(state, now);
+  const bool overdue =
+      std::any_of(link.m_pending_requests.begin(), link.m_pending_requests.end(),
+                  [&state, now](const auto& pending) {
+                    const Forwarding* forwarding = Find(state, pending.second);
+                    return forwarding != nullptr && !forwarding->m_queued &&
+                           now - forwarding->m_slot_requested_at > kSlotResponseTimeout;
+                  });
+  if (overdue)
+    OnBrokerOverdue(state, now);
 }
 
-void TellHeld(ForwarderState& state, const Forwarding& forwarding) {
+void ReportHeldSlot(ForwarderState& state, const Forwarding& forwarding) {
   if (state.m_broker.m_active)
     state.m_broker.m_outbox.m_held.push_back(MakeHeld(forwarding));
 }
 
-void TellPlace(ForwarderState& state, Forwarding& forwarding, bool ended) {
+void ReportSlot(ForwarderState& state, Forwarding& forwarding, bool ended) {
   if (forwarding.m_slot == 0)
     return;
   SlotReport report = forwarding.m_report;
@@ -368,7 +374,7 @@
     return;
   state.m_broker.m_outbox.m_reports.push_back(report);
   if (ended)
-    FlushToBroker(state);  // Others wait for the place.
+    FlushToBroker(state);  // Other requests wait for the slot.
 }
 
 void FlushToBroker(ForwarderState& state) {
--- a/packages/forward/src/chain.cc
+++ b/packages/forward/src/chain.cc
@@ -7,16 +7,17 @@
 namespace poppyway::impl {
 namespace {
 
-// A stopping instance serves all that still comes for this long: the balancer needs two checks a
-// second apart to take it out. Later it serves only what ends before the stop's limit: half as many
-// callers are refused in a rolling restart as without that (200 in place of 428 of 8,000).
-constexpr Duration kServeWhileStopping{2'500'000};
+// An instance that shuts down serves all new requests for this long, since the balancer needs two
+// checks a second apart to remove it. Later it serves only requests whose deadline is before the
+// end of the shutdown. This halves the callers rejected in a rolling restart (200 instead of 428 of
+// 8,000).
+constexpr Duration kServeDuringShutdown{2'500'000};
 
-/// The share of a workspace's limit that a request leaves to more urgent ones of the workspace.
+/// Returns the share of the burst that a request must leave to more urgent ones of its workspace.
 double ReserveOf(const Forwarding& forwarding, double cost, const QuotaLimit& limit) {
-  // Steps far enough apart that an average prompt of a more urgent rank fits between them.
+  // The steps are wide enough for an average prompt of a more urgent tier to fit between them.
   constexpr double kReserveByRank[kTiers] = {0, 0.1, 0.2};
-  constexpr double kCheap = 0.01;  // Of the burst: taking so little sheds nothing else.
+  constexpr double kCheap = 0.01;  // Share of the burst; so small a cost rejects no other request.
   if (cost <= kCheap * limit.m_burst)
     return 0;
   return kReserveByRank[static_cast<std::size_t>(
@@ -25,34 +26,34 @@
 
 }  // namespace
 
-// The way of one request, top to bottom. From `Enqueue` on the queue, the call's events and the
-// clock drive it; `Close` ends it.
+// After `Enqueue`, the request is driven by the queue, the callbacks of its call and the timer;
+// `Close` ends it.
 void RunChain(ForwarderState& state, Forwarding& forwarding) {
-  if (CheckInForce(state, forwarding) == Step::kEnded)
+  if (PinRouteTable(state, forwarding) == Step::kEnded)
     return;
   if (MatchRoute(state, forwarding) == Step::kEnded)
     return;
-  if (CheckStop(state, forwarding) == Step::kEnded)
+  if (CheckShutdown(state, forwarding) == Step::kEnded)
     return;
   if (IdentifyWorkspace(state, forwarding) == Step::kEnded)
     return;
-  if (SetHomes(state, forwarding) == Step::kEnded)
+  if (SetHomeRegions(state, forwarding) == Step::kEnded)
     return;
   PriceRequest(state, forwarding);
   Enqueue(state, forwarding);
 }
 
-Step CheckInForce(ForwarderState& state, Forwarding& forwarding) {
+Step PinRouteTable(ForwarderState& state, Forwarding& forwarding) {
   forwarding.m_table = state.m_table;
   return Step::kContinue;
 }
 
-Step CheckStop(ForwarderState& state, Forwarding& forwarding) {
-  if (!state.m_stopping || forwarding.m_arrived - state.m_shutdown_started <= kServeWhileStopping)
+Step CheckShutdown(ForwarderState& state, Forwarding& forwarding) {
+  if (!state.m_stopping || forwarding.m_arrived - state.m_shutdown_started <= kServeDuringShutdown)
     return Step::kContinue;
-  if (forwarding.m_deadline < StopEnd(state))
+  if (forwarding.m_deadline < ShutdownEnd(state))
     return Step::kContinue;
-  Refuse(state, forwarding, ResultCode::kStopping, "the instance stops");
+  Refuse(state, forwarding, ResultCode::kStopping, "the instance is shutting down");
   return Step::kEnded;
 }
 
@@ -60,7 +61,7 @@
   const bool confirmed = forwarding.m_arrived < state.m_confirmed_until;
   forwarding.m_route = FindRoute(*forwarding.m_table, forwarding.m_host, forwarding.m_target);
   if (forwarding.m_route == nullptr) {
-    // Without contact a newer configuration may have the route: then nothing is said about it.
+    // Without a confirmation, a newer configuration may have the route, so this isn't `kNoRoute`.
     Refuse(state, forwarding, confirmed ? ResultCode::kNoRoute : ResultCode::kNotConfirmed,
            "no route serves this host and path");
     return Step::kEnded;
@@ -79,12 +80,13 @@
   if (forwarding.m_route->m_anonymous || table.m_workspaces.empty())
     return Step::kContinue;
   if (forwarding.m_arrived >= state.m_confirmed_until) {
-    Refuse(state, forwarding, ResultCode::kNotConfirmed, "keys can't be relied on without contact");
+    Refuse(state, forwarding, ResultCode::kNotConfirmed,
+           "API keys can't be verified without a leader");
     return Step::kEnded;
   }
   forwarding.m_workspace = FindWorkspace(table, forwarding.m_request.m_key);
   if (forwarding.m_workspace == nullptr) {
-    Refuse(state, forwarding, ResultCode::kUnknownKey, "no workspace holds the key");
+    Refuse(state, forwarding, ResultCode::kUnknownKey, "no workspace has this API key");
     return Step::kEnded;
   }
   forwarding.m_tier = forwarding.m_workspace->m_tier.value_or(forwarding.m_route->m_tier);
@@ -114,7 +116,7 @@
   const auto rank = static_cast<std::size_t>(std::clamp(forwarding.m_route->m_tier, 0, kTiers - 1));
   forwarding.m_length_class =
       LengthClass(waiting.m_mean_log_tokens[rank], forwarding.m_request.m_expected_tokens);
-  PutInQueue(state, forwarding, ReadClock() + FirstWait(forwarding));
+  PutInQueue(state, forwarding, ReadClock() + InitialQueueTimeout(forwarding));
   ServeQueue(state, pool);
 }
 
--- a/packages/forward/src/dispatch.cc
+++ b/packages/forward/src/dispatch.cc
@@ -5,8 +5,9 @@
 namespace poppyway::impl {
 namespace {
 
-constexpr std::size_t kMostParts = 4096;  // Prompt parts remembered for one server.
-constexpr Duration kPartAge{60'000'000};
+constexpr std::size_t kMaxSegments = 4096;  // Prompt segments remembered for one server.
+// Older ones are dropped first when the map is full.
+constexpr Duration kMaxSegmentAge{60'000'000};
 
 std::string BuildRequest(const Forwarding& forwarding, const std::vector<Field>& added) {
   std::string request;
@@ -26,13 +27,13 @@
   return request;
 }
 
-void RememberParts(Backend& backend, const CallerRequest& request, Instant now) {
-  for (const PromptSegment& part : request.m_prompt_segments)
-    backend.m_prompt_segments[part.m_id] = now;
-  if (backend.m_prompt_segments.size() > kMostParts)
+void RememberSegments(Backend& backend, const CallerRequest& request, Instant now) {
+  for (const PromptSegment& segment : request.m_prompt_segments)
+    backend.m_prompt_segments[segment.m_id] = now;
+  if (backend.m_prompt_segments.size() > kMaxSegments)
     std::erase_if(backend.m_prompt_segments,
-                  [now](const auto& part) { return now - part.second > kPartAge; });
-  if (backend.m_prompt_segments.size() > kMostParts)
+                  [now](const auto& segment) { return now - segment.second > kMaxSegmentAge; });
+  if (backend.m_prompt_segments.size() > kMaxSegments)
     backend.m_prompt_segments.clear();
 }
 
@@ -40,21 +41,21 @@
   Forwarding* forwarding = Find(state, ref);
   if (forwarding == nullptr || forwarding->m_stage == ForwardingStage::kDone)
     return false;
-  // A server that has started again since holds no place for it.
-  Backend* backend = FindOwnBackend(state, *forwarding);
+  // A server that has restarted since has no slot for the request.
+  Backend* backend = FindCalledBackend(state, *forwarding);
   const Instant now = ReadClock();
   const bool confirmed = forwarding->m_workspace == nullptr || now < state.m_confirmed_until;
   if (backend == nullptr || !confirmed ||
       CheckEligibilityOnSend(state, *forwarding, *backend, now) != IneligibleReason::kNone)
     return false;
-  ++forwarding->m_unsure;
-  ++forwarding->m_reached;
+  ++forwarding->m_possible_runs;
+  ++forwarding->m_attempts;
   forwarding->m_sent = true;
   forwarding->m_tried.push_back(forwarding->m_server);
   forwarding->m_dispatched = now;
   if (forwarding->m_call)
-    LearnConnect(state, *forwarding, *backend, forwarding->m_call->connect_time());
-  RememberParts(*backend, forwarding->m_request, now);
+    RecordConnectTime(state, *forwarding, *backend, forwarding->m_call->connect_time());
+  RememberSegments(*backend, forwarding->m_request, now);
   return true;
 }
 
@@ -68,11 +69,11 @@
       forwarding.m_caller.m_started ? ForwardingStage::kRelaying : ForwardingStage::kCalling;
   forwarding.m_server = server;
   forwarding.m_server_started_ms = backend.m_record.born;
-  forwarding.m_answer = {};
-  forwarding.m_headed = false;
+  forwarding.m_response = {};
+  forwarding.m_head_accepted = false;
   forwarding.m_buffered.clear();
   forwarding.m_events.m_partial.clear();
-  forwarding.m_heard = {};
+  forwarding.m_last_byte = {};
   forwarding.m_first_event = {};
   forwarding.m_call_events = 0;
   forwarding.m_dispatched = now;
@@ -80,14 +81,14 @@
   if (forwarding.m_slot == 0) {
     forwarding.m_slot = state.m_broker.m_next_ref++;
     forwarding.m_by_broker = false;
-    NoteColdAlone(state, backend, now);
-    TellHeld(state, forwarding);
+    RecordColdSendWithoutBroker(state, backend, now);
+    ReportHeldSlot(state, forwarding);
   }
   forwarding.m_report = {.m_ref = forwarding.m_slot};
-  forwarding.m_read_tokens = forwarding.m_request.m_prompt_tokens;
+  forwarding.m_prefill_tokens = forwarding.m_request.m_prompt_tokens;
   ++backend.m_in_flight;
   BeginProbe(state.m_outages, backend.m_record.data_centre, server, now);
-  backend.m_pending_prefill_tokens += forwarding.m_read_tokens;
+  backend.m_pending_prefill_tokens += forwarding.m_prefill_tokens;
   DispatchFields fields;
   fields.m_server = server;
   if (forwarding.m_workspace != nullptr)
@@ -101,7 +102,7 @@
     return OnHead(state, ref, status, std::move(head));
   };
   events.m_on_data = [&state, ref](std::string_view bytes) { OnData(state, ref, bytes); };
-  events.m_on_complete = [&state, ref] { OnWhole(state, ref); };
+  events.m_on_complete = [&state, ref] { OnComplete(state, ref); };
   events.m_on_fault = [&state, ref](CallFault fault) { OnFault(state, ref, fault); };
   const bool careful = forwarding.m_route->m_repeat == Repeat::kNever;
   POPPYWAY_LOG(debug, "dispatch")
@@ -111,7 +112,7 @@
       .Field("by_broker", forwarding.m_by_broker)
       .Field("forecast_ms", forwarding.m_forecast.count() / 1000);
   forwarding.m_call = std::make_unique<BackendCall>(
-      *state.m_connections, backend.m_place,
+      *state.m_connections, backend.m_endpoint,
       BuildRequest(forwarding, state.m_adapter.m_encode_dispatch(fields)),
       forwarding.m_method == "HEAD", careful, std::move(events));
 }
--- a/packages/forward/src/evacuation.cc
+++ b/packages/forward/src/evacuation.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Evacuated data centres, as an instance knows of them.
+// Evacuations of data centres at an instance.
 #include "steps.h"
 
 namespace poppyway::impl {
@@ -10,8 +10,8 @@
   return "data_centre=\"" + data_centre + "\"";
 }
 
-/// Of an evacuation that was ordered or has ended. What runs there ends by itself.
-void PutInForce(ForwarderState& state, const wire::Evacuation& evacuation) {
+/// Applies an evacuation that was ordered or has ended. Requests in flight there run to their end.
+void ApplyEvacuation(ForwarderState& state, const wire::Evacuation& evacuation) {
   int servers = 0;
   int running = 0;
   for (const auto& [id, backend] : state.m_backends) {
@@ -20,7 +20,7 @@
     ++servers;
     running += backend.m_in_flight;
     if (!evacuation.ended)
-      state.m_connections->Forget(backend.m_place);
+      state.m_connections->Forget(backend.m_endpoint);
   }
   state.m_metrics.Set("poppyway_evacuated", DataCentreLabel(evacuation.data_centre),
                       evacuation.ended ? 0 : 1);
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-void TakeEvacuations(ForwarderState& state, const std::vector<wire::Evacuation>& evacuations) {
+void HandleEvacuations(ForwarderState& state, const std::vector<wire::Evacuation>& evacuations) {
   bool changed = false;
   for (const wire::Evacuation& evacuation : evacuations) {
     wire::Evacuation& known = state.m_evacuations[evacuation.data_centre];
@@ -42,7 +42,7 @@
       continue;
     known = evacuation;
     changed = true;
-    PutInForce(state, evacuation);
+    ApplyEvacuation(state, evacuation);
   }
   if (!changed)
     return;
@@ -58,7 +58,7 @@
   return found != state.m_evacuations.end() && !found->second.ended;
 }
 
-bool EvacuatedAway(const ForwarderState& state, const Forwarding& forwarding) {
+bool HasOnlyEvacuatedServers(const ForwarderState& state, const Forwarding& forwarding) {
   const auto pool = state.m_pools.find(forwarding.m_pool->m_name);
   if (state.m_evacuations.empty() || pool == state.m_pools.end())
     return false;
--- a/packages/forward/src/event_stream.cc
+++ b/packages/forward/src/event_stream.cc
@@ -32,9 +32,9 @@
 }  // namespace
 
 std::string ExtractEvents(EventStreamParser& stream, std::string_view bytes) {
-  std::string whole;
+  std::string complete;
   if (stream.m_out_of_order)
-    return whole;
+    return complete;
   stream.m_partial += bytes;
   std::size_t begin = 0;
   while (true) {
@@ -51,11 +51,11 @@
     if (id)
       stream.m_last_id = id;
     ++stream.m_events;
-    whole += event;
+    complete += event;
     begin = after;
   }
   stream.m_partial.erase(0, begin);
-  return whole;
+  return complete;
 }
 
 }  // namespace poppyway
--- a/packages/forward/src/finish.cc
+++ b/packages/forward/src/finish.cc
@@ -7,9 +7,10 @@
 namespace poppyway::impl {
 namespace {
 
-constexpr int kCallerGoneStatus = 499;  // Nobody reads it; the library needs an answer to let go.
+// Never read; the library needs a response to release the request.
+constexpr int kCallerGoneStatus = 499;
 
-/// Our generator: the library calls back through it, by reference.
+/// The body generator of a response; the library passes it to the callbacks.
 struct Generator {
   h2o_generator_t m_base;
   ForwarderState* m_state;
@@ -47,10 +48,10 @@
   return duration.count() / 1000;
 }
 
-void LogEnd(const ForwarderState& state,
-            const Forwarding& forwarding,
-            ResultCode code,
-            std::string_view why) {
+void LogResult(const ForwarderState& state,
+               const Forwarding& forwarding,
+               ResultCode code,
+               std::string_view why) {
   const Instant now = ReadClock();
   const bool first = forwarding.m_first_sent != Instant{};
   POPPYWAY_LOG(info, "request")
@@ -62,7 +63,7 @@
       .Field("tier", forwarding.m_tier)
       .Field("workspace", forwarding.m_workspace == nullptr ? "-" : forwarding.m_workspace->m_name)
       .Field("server", forwarding.m_tried.empty() ? "-" : forwarding.m_tried.back())
-      .Field("attempts", forwarding.m_reached)
+      .Field("attempts", forwarding.m_attempts)
       .Field("allowed_ms", Millis(forwarding.m_deadline - forwarding.m_arrived))
       .Field("prompt_tokens", forwarding.m_request.m_prompt_tokens)
       .Field("most_tokens", forwarding.m_request.m_most_tokens)
@@ -82,16 +83,18 @@
 
 }  // namespace
 
-void StartAnswer(ForwarderState& state, Forwarding& forwarding, std::optional<std::size_t> length) {
+void StartResponse(ForwarderState& state,
+                   Forwarding& forwarding,
+                   std::optional<std::size_t> length) {
   h2o_req_t* req = forwarding.m_caller.m_req;
   forwarding.m_stage = ForwardingStage::kRelaying;
   if (req == nullptr)
     return;
-  req->res.status = forwarding.m_answer.m_status;
-  req->res.reason = ReasonPhrase(forwarding.m_answer.m_status);
+  req->res.status = forwarding.m_response.m_status;
+  req->res.reason = ReasonPhrase(forwarding.m_response.m_status);
   if (length)
     req->res.content_length = *length;
-  for (const Field& field : forwarding.m_answer.m_relayed)
+  for (const Field& field : forwarding.m_response.m_relayed)
     AddField(req, field.m_name, field.m_value);
   Begin(state, forwarding);
 }
@@ -108,7 +111,7 @@
     req->res.content_length = body.size();
     AddField(req, "content-type", "text/plain; charset=utf-8");
     if (info.m_retry_after)
-      AddField(req, "retry-after", SecondsText(ComeBackAfter(state, forwarding, code)));
+      AddField(req, "retry-after", SecondsText(RetryDelay(state, forwarding, code)));
     Begin(state, forwarding);
     SendChunk(caller, body, true);
   } else if (caller.m_req != nullptr) {
@@ -122,7 +125,7 @@
     return;
   if (forwarding.m_stage == ForwardingStage::kWaiting)
     state.m_pools[forwarding.m_pool->m_name].m_waiting.erase(OrderOf(forwarding));
-  WithdrawAsk(state, forwarding);
+  CancelSlotRequest(state, forwarding);
   const std::string tier = "tier=\"" + std::to_string(forwarding.m_tier) + "\"";
   if (code == ResultCode::kOk) {
     state.m_metrics.Add("poppyway_forward_answers_total", tier);
@@ -131,13 +134,13 @@
     state.m_metrics.Add("poppyway_forward_refusals_total",
                         TierAndReason(forwarding.m_tier, ResultInfoOf(code).m_name));
   }
-  LogEnd(state, forwarding, code, why);
+  LogResult(state, forwarding, code, why);
   EndCall(state, forwarding);
-  if (forwarding.m_unsure == 0)
+  if (forwarding.m_possible_runs == 0)
     RefundWithoutBroker(state, forwarding);
   forwarding.m_stage = ForwardingStage::kDone;
   if (forwarding.m_caller.m_req == nullptr)
-    state.m_over.push_back(forwarding.m_ref);
+    state.m_finished.push_back(forwarding.m_ref);
 }
 
 void OnDisposed(ForwarderState& state, ForwardingRef ref) {
@@ -146,7 +149,7 @@
     return;
   forwarding->m_caller.m_req = nullptr;
   if (forwarding->m_stage == ForwardingStage::kDone) {
-    state.m_over.push_back(ref);
+    state.m_finished.push_back(ref);
     return;
   }
   const std::string pool = forwarding->m_pool == nullptr ? "" : forwarding->m_pool->m_name;
@@ -157,15 +160,15 @@
 
 void EndCall(ForwarderState& state, Forwarding& forwarding) {
   if (!forwarding.m_server.empty()) {
-    if (Backend* backend = FindOwnBackend(state, forwarding)) {
+    if (Backend* backend = FindCalledBackend(state, forwarding)) {
       --backend->m_in_flight;
-      backend->m_pending_prefill_tokens -= forwarding.m_read_tokens;
+      backend->m_pending_prefill_tokens -= forwarding.m_prefill_tokens;
       if (IsEvacuated(state, *backend))
-        state.m_connections->Forget(backend->m_place);
+        state.m_connections->Forget(backend->m_endpoint);
     }
-    TellPlace(state, forwarding, true);
+    ReportSlot(state, forwarding, true);
     forwarding.m_server.clear();
-    forwarding.m_read_tokens = 0;
+    forwarding.m_prefill_tokens = 0;
   }
   if (!forwarding.m_call)
     return;
--- a/packages/forward/src/forwarder.cc
+++ b/packages/forward/src/forwarder.cc
@@ -9,16 +9,19 @@
 
 using impl::Find;
 
+// Timer intervals with and without queued or held requests.
 constexpr std::uint64_t kBusyTickMillis = 10;
 constexpr std::uint64_t kIdleTickMillis = 50;
-constexpr Duration kCallerPollInterval{100'000};  // A left caller's work stops well within 0.5 s.
+// Work for a disconnected caller must stop within 0.5 s.
+constexpr Duration kCallerPollInterval{100'000};
 constexpr std::uint64_t kCallerIdleMillis = 120'000;
 constexpr std::size_t kMaxBody = 16 << 20;
-// A planned stop ends this long before its limit, and not before the balancer has had two checks.
-constexpr Duration kStopMargin{500'000};
-constexpr Duration kStopAtLeast{3'000'000};
+// A planned shutdown ends this long before its timeout.
+constexpr Duration kShutdownMargin{500'000};
+constexpr Duration kMinShutdown{3'000'000};  // The balancer needs time for two readiness checks.
 
-/// Lives in the request's pool; tells when the library disposes of the request.
+/// An object in the request's memory pool whose destructor callback reports that the library
+/// disposes of the request.
 struct Anchor {
   ForwarderState* m_state;
   ForwardingRef m_ref;
@@ -44,7 +47,7 @@
   forwarding.m_request = state.m_adapter.m_decode_request(std::move(fields));
 }
 
-/// Ends what its caller left behind.
+/// Ends requests whose callers have disconnected.
 void PollCallers(ForwarderState& state) {
   std::vector<ForwardingRef> refs;
   std::vector<h2o_req_t*> requests;
@@ -64,14 +67,14 @@
     if (forwarding == nullptr)
       continue;
     const std::string pool = forwarding->m_pool == nullptr ? "" : forwarding->m_pool->m_name;
-    // The library still holds the request: answering closes the connection.
+    // The library still holds the request; a response closes the connection.
     impl::Refuse(state, *forwarding, ResultCode::kCallerGone, "the caller closed its connection");
     if (!pool.empty())
       impl::ServeQueue(state, pool);
   }
 }
 
-/// At its deadline a request gets its final answer, whatever its server does.
+/// Ends calls that have passed their deadline, whatever their servers do.
 void EndOverdue(ForwarderState& state, Instant now) {
   std::vector<ForwardingRef> overdue;
   for (const auto& [ref, forwarding] : state.m_forwardings) {
@@ -83,10 +86,10 @@
   for (const ForwardingRef ref : overdue) {
     Forwarding& forwarding = *Find(state, ref);
     const std::string pool = forwarding.m_pool->m_name;
-    impl::Refuse(
-        state, forwarding,
-        forwarding.m_unsure > 0 ? ResultCode::kDeadlinePassed : ResultCode::kDeadlineUnreachable,
-        "the deadline passed");
+    impl::Refuse(state, forwarding,
+                 forwarding.m_possible_runs > 0 ? ResultCode::kDeadlinePassed
+                                                : ResultCode::kDeadlineUnreachable,
+                 "the deadline passed");
     impl::ServeQueue(state, pool);
   }
 }
@@ -117,21 +120,21 @@
         .Field("bytes", document.body.size())
         .Field("took_ms", (ReadClock() - begun).count() / 1000)
         .Field("workspaces", m_state.m_table->m_workspaces.size());
-    impl::RefreshHomes(m_state);
-    impl::EndStart(m_state);
+    impl::RefreshHomeRegions(m_state);
+    impl::ServeHeld(m_state);
   }
   void operator()(const ServersChanged& message) const {
-    impl::TakeServers(m_state, message.m_servers);
+    impl::UpdateServers(m_state, message.m_servers);
     impl::EndLostCalls(m_state, ReadClock());
   }
   void operator()(const EvacuationsChanged& message) const {
-    impl::TakeEvacuations(m_state, message.m_evacuations);
+    impl::HandleEvacuations(m_state, message.m_evacuations);
   }
   void operator()(const ConfirmedUntil& message) const {
     if (message.m_until <= ReadClock())
-      return;  // Run out on its way: it doesn't tell that a leader is there now.
+      return;  // It expired before it arrived, so it doesn't show that there is a leader now.
     m_state.m_confirmed_until = std::max(m_state.m_confirmed_until, message.m_until);
-    impl::EndStart(m_state);
+    impl::ServeHeld(m_state);
   }
   void operator()(const LiveInstanceCount& message) const {
     m_state.m_instances = CountInstances(m_state.m_instances, message.m_instances,
@@ -141,13 +144,15 @@
   void operator()(const BrokerDisconnected& /*message*/) const {
     impl::OnBrokerLost(m_state, "connection_lost");
   }
-  void operator()(const SlotResponses& message) const { impl::TakeAnswers(m_state, message); }
+  void operator()(const SlotResponses& message) const {
+    impl::HandleSlotResponses(m_state, message);
+  }
 };
 
 }  // namespace
 
-Instant impl::StopEnd(const ForwarderState& state) noexcept {
-  return state.m_shutdown_started + state.m_settings.m_shutdown_timeout - kStopMargin;
+Instant impl::ShutdownEnd(const ForwarderState& state) noexcept {
+  return state.m_shutdown_started + state.m_settings.m_shutdown_timeout - kShutdownMargin;
 }
 
 Forwarder::Forwarder(EventLoop& loop, const ForwarderSettings& settings, ProtocolAdapter adapter)
@@ -179,10 +184,10 @@
       {m_callers.get(), &settings.m_caller_endpoint},
       {m_readiness.get(), &settings.m_readiness_endpoint},
       {m_metrics.get(), &settings.m_metrics_endpoint}};
-  for (const auto& [server, place] : listeners) {
-    if (place->m_port == 0)
+  for (const auto& [server, endpoint] : listeners) {
+    if (endpoint->m_port == 0)
       continue;
-    if (Result<void> listening = server->Listen(place->m_address, place->m_port); !listening)
+    if (Result<void> listening = server->Listen(endpoint->m_address, endpoint->m_port); !listening)
       return listening;
   }
   return {};
@@ -204,8 +209,8 @@
   if (!m_state.m_stopping)
     return false;
   const Duration since = ReadClock() - m_state.m_shutdown_started;
-  const bool idle = since >= kStopAtLeast && m_state.m_forwardings.empty();
-  return idle || ReadClock() >= impl::StopEnd(m_state);
+  const bool idle = since >= kMinShutdown && m_state.m_forwardings.empty();
+  return idle || ReadClock() >= impl::ShutdownEnd(m_state);
 }
 
 void Forwarder::OnRequest(h2o_req_t* req) {
@@ -221,8 +226,8 @@
   auto* anchor =
       static_cast<Anchor*>(h2o_mem_alloc_shared(&req->pool, sizeof(Anchor), &OnAnchorDisposed));
   *anchor = {&m_state, ref};
-  if (impl::IsStarting(m_state))
-    impl::AwaitStart(m_state, forwarding);
+  if (impl::IsUnconfigured(m_state))
+    impl::HoldUntilConfigured(m_state, forwarding);
   else
     impl::RunChain(m_state, forwarding);
 }
@@ -247,13 +252,13 @@
 bool Forwarder::Tick() {
   const Instant now = ReadClock();
   m_state.m_retired.clear();
-  for (const ForwardingRef ref : m_state.m_over)
+  for (const ForwardingRef ref : m_state.m_finished)
     m_state.m_forwardings.erase(ref);
-  m_state.m_over.clear();
+  m_state.m_finished.clear();
   impl::CheckBroker(m_state, now);
-  impl::ExpireStart(m_state, now);
+  impl::ExpireHeld(m_state, now);
   impl::ExpireWaiting(m_state, now);
-  impl::EndSilentCalls(m_state, now);
+  impl::LeaveLostDataCentres(m_state, now);
   EndOverdue(m_state, now);
   impl::EndLostCalls(m_state, now);
   if (now - m_state.m_callers_polled >= kCallerPollInterval) {
@@ -262,14 +267,14 @@
   }
   impl::FlushToBroker(m_state);
   const bool ready = IsReady(m_state, now);
-  if (ready != m_state.m_ready_told) {
-    m_state.m_ready_told = ready;
+  if (ready != m_state.m_ready_logged) {
+    m_state.m_ready_logged = ready;
     POPPYWAY_LOG(info, "readiness")
         .Field("ready", ready)
         .Field("version", m_state.m_table ? m_state.m_table->m_version : 0)
         .Field("confirmed_ms", (m_state.m_confirmed_until - now).count() / 1000);
   }
-  if (!m_state.m_awaiting_start.empty())
+  if (!m_state.m_held_requests.empty())
     return true;
   return std::any_of(m_state.m_pools.begin(), m_state.m_pools.end(),
                      [](const auto& pool) { return !pool.second.m_waiting.empty(); });
--- a/packages/forward/src/homes.cc
+++ b/packages/forward/src/homes.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Regions in which a request may be served, while it waits, is tried again or goes on elsewhere.
+// Home regions of requests: where a request may be queued, retried and resumed.
 #include <algorithm>
 
 #include "steps.h"
@@ -8,7 +8,7 @@
 namespace poppyway::impl {
 namespace {
 
-HomeRegions HomesOf(const Route* route, const Workspace* workspace) {
+HomeRegions CommonHomesOf(const Route* route, const Workspace* workspace) {
   const HomeRegions unbound;
   return CommonHomes(route == nullptr ? unbound : route->m_home_regions,
                      workspace == nullptr ? unbound : workspace->m_home_regions);
@@ -21,16 +21,16 @@
   return found == table.m_workspaces.end() ? nullptr : &*found;
 }
 
-/// By the document in force, whose route and workspace may have other homes than those that the
-/// request arrived under, or be gone.
-HomeRegions HomesInForce(const RouteTable& table, const Forwarding& forwarding) {
+/// Returns the home regions by the current document. Its route and workspace may have other regions
+/// than at the request's arrival, or may have been removed.
+HomeRegions HomesByCurrentTable(const RouteTable& table, const Forwarding& forwarding) {
   const Workspace* workspace = forwarding.m_workspace == nullptr
                                    ? nullptr
                                    : FindByName(table, forwarding.m_workspace->m_name);
-  return HomesOf(FindRoute(table, forwarding.m_host, forwarding.m_target), workspace);
+  return CommonHomesOf(FindRoute(table, forwarding.m_host, forwarding.m_target), workspace);
 }
 
-bool BoundToNothing(const HomeRegions& homes) {
+bool HasNoRegion(const HomeRegions& homes) {
   return homes.m_restricted && homes.m_regions.empty();
 }
 
@@ -41,7 +41,7 @@
   return text;
 }
 
-void RefuseHomeless(ForwarderState& state, Forwarding& forwarding) {
+void RefuseWithoutHome(ForwarderState& state, Forwarding& forwarding) {
   POPPYWAY_LOG(info, "no_home")
       .Field("request", forwarding.m_request.m_id)
       .Field("route", forwarding.m_route->m_name)
@@ -49,48 +49,49 @@
       .Field("workspace", forwarding.m_workspace == nullptr ? "-" : forwarding.m_workspace->m_name)
       .Field("version", state.m_table->m_version);
   Refuse(state, forwarding,
-         forwarding.m_unsure > 0 ? ResultCode::kOutcomeUnknown : ResultCode::kNoHome,
+         forwarding.m_possible_runs > 0 ? ResultCode::kOutcomeUnknown : ResultCode::kNoHome,
          "route and workspace share no home region");
 }
 
-/// What waits: the broker keeps to the homes that it was told, so it is asked anew.
-void WaitAtNewHomes(ForwarderState& state, Forwarding& forwarding) {
-  if (BoundToNothing(forwarding.m_home_regions)) {
-    RefuseHomeless(state, forwarding);
+/// Updates a queued request after its home regions changed. The broker keeps the regions of the
+/// slot request, so that is cancelled and sent again.
+void RequeueWithNewHomes(ForwarderState& state, Forwarding& forwarding) {
+  if (HasNoRegion(forwarding.m_home_regions)) {
+    RefuseWithoutHome(state, forwarding);
     return;
   }
   if (forwarding.m_slot_request == 0)
     return;
-  WithdrawAsk(state, forwarding);
-  if (state.m_broker.m_active && !IsQuiet(state.m_broker))
-    AskBroker(state, forwarding);
+  CancelSlotRequest(state, forwarding);
+  if (state.m_broker.m_active && !IsBrokerOverdue(state.m_broker))
+    RequestSlot(state, forwarding);
 }
 
 }  // namespace
 
-Step SetHomes(ForwarderState& state, Forwarding& forwarding) {
-  forwarding.m_home_regions = HomesOf(forwarding.m_route, forwarding.m_workspace);
-  if (!BoundToNothing(forwarding.m_home_regions))
+Step SetHomeRegions(ForwarderState& state, Forwarding& forwarding) {
+  forwarding.m_home_regions = CommonHomesOf(forwarding.m_route, forwarding.m_workspace);
+  if (!HasNoRegion(forwarding.m_home_regions))
     return Step::kContinue;
-  RefuseHomeless(state, forwarding);
+  RefuseWithoutHome(state, forwarding);
   return Step::kEnded;
 }
 
-HomeRegions HomesNow(const ForwarderState& state, const Forwarding& forwarding) {
-  const HomeRegions arrived = HomesOf(forwarding.m_route, forwarding.m_workspace);
+HomeRegions CurrentHomes(const ForwarderState& state, const Forwarding& forwarding) {
+  const HomeRegions arrived = CommonHomesOf(forwarding.m_route, forwarding.m_workspace);
   if (state.m_table == forwarding.m_table)
     return arrived;
-  return CommonHomes(arrived, HomesInForce(*state.m_table, forwarding));
+  return CommonHomes(arrived, HomesByCurrentTable(*state.m_table, forwarding));
 }
 
-void RefreshHomes(ForwarderState& state) {
+void RefreshHomeRegions(ForwarderState& state) {
   std::vector<ForwardingRef> changed;
   for (auto& [ref, forwarding] : state.m_forwardings) {
     const bool open =
         forwarding->m_route != nullptr && forwarding->m_stage != ForwardingStage::kDone;
     if (!open)
       continue;
-    HomeRegions homes = HomesNow(state, *forwarding);
+    HomeRegions homes = CurrentHomes(state, *forwarding);
     if (homes == forwarding->m_home_regions)
       continue;
     forwarding->m_home_regions = std::move(homes);
@@ -104,13 +105,13 @@
   for (const ForwardingRef ref : changed) {
     Forwarding* forwarding = Find(state, ref);
     if (forwarding != nullptr && forwarding->m_stage == ForwardingStage::kWaiting)
-      WaitAtNewHomes(state, *forwarding);
+      RequeueWithNewHomes(state, *forwarding);
   }
   for (const auto& [name, pool] : state.m_pools)
     ServeQueue(state, name);
 }
 
-bool NoneAtHome(const ForwarderState& state, const Forwarding& forwarding) {
+bool NoServerInHomeRegion(const ForwarderState& state, const Forwarding& forwarding) {
   if (!forwarding.m_home_regions.m_restricted)
     return false;
   const auto pool = state.m_pools.find(forwarding.m_pool->m_name);
--- a/packages/forward/src/outage.cc
+++ b/packages/forward/src/outage.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What an instance does about data centres that are lost or cut off as a whole.
+// Handling of data centres that are lost or unreachable as a whole.
 #include <algorithm>
 
 #include "steps.h"
@@ -8,11 +8,11 @@
 namespace poppyway::impl {
 namespace {
 
-// Streams pause for less; by then a broker has the word of many others, so a server that sent
-// nothing to this instance for as long isn't waited for.
-constexpr Duration kLostSilence{300'000};
+// Streams pause for less than this, and after this time the broker has reports of many other
+// instances. So a server that sent nothing to this instance for this long isn't waited for.
+constexpr Duration kLostDataCentreSilence{300'000};
 
-void LogNews(const OutageEvent& event) {
+void LogOutageEvent(const OutageEvent& event) {
   const bool one_of_many =
       event.m_transition == OutageTransition::kServerResponded && event.m_recovered > 1;
   if (event.m_transition == OutageTransition::kNone || one_of_many)
@@ -26,9 +26,12 @@
       .Field("after_ms", event.m_silence.count() / 1000);
 }
 
-/// True if the call under way is at a lost data centre and has had nothing from its server lately.
-/// An instance of that data centre reaches the servers there and judges by their answers.
-bool IsSilentAtLost(const ForwarderState& state, const Forwarding& forwarding, Instant now) {
+/// Returns true if the active call is at a lost data centre and its server hasn't sent a byte for
+/// `kLostDataCentreSilence`. Never for the own data centre: its servers are reachable and judged by
+/// their responses.
+bool IsSilentAtLostDataCentre(const ForwarderState& state,
+                              const Forwarding& forwarding,
+                              Instant now) {
   if (!forwarding.m_call || forwarding.m_server.empty())
     return false;
   const auto found = state.m_backends.find(forwarding.m_server);
@@ -38,22 +41,22 @@
   const bool own = data_centre == state.m_settings.m_data_centre;
   const bool lost = std::find(state.m_suspects.begin(), state.m_suspects.end(), data_centre) !=
                     state.m_suspects.end();
-  const Instant last = std::max(found->second.m_last_heard, forwarding.m_dispatched);
-  return lost && !own && now - last >= kLostSilence;
+  const Instant last = std::max(found->second.m_last_byte, forwarding.m_dispatched);
+  return lost && !own && now - last >= kLostDataCentreSilence;
 }
 
 }  // namespace
 
-void NotePath(ForwarderState& state, const Forwarding& forwarding, bool heard) {
+void ReportReachability(ForwarderState& state, const Forwarding& forwarding, bool responded) {
   const Backend* backend = FindBackend(state, forwarding.m_server);
   if (backend == nullptr)
     return;
-  const ReachabilityReport sign{backend->m_record.data_centre, forwarding.m_server,
-                                state.m_settings.m_instance, heard, forwarding.m_dispatched};
-  LogNews(RecordReport(state.m_outages, sign, ReadClock()));
+  const ReachabilityReport report{backend->m_record.data_centre, forwarding.m_server,
+                                  state.m_settings.m_instance, responded, forwarding.m_dispatched};
+  LogOutageEvent(RecordReport(state.m_outages, report, ReadClock()));
 }
 
-void WatchServers(ForwarderState& state) {
+void UpdateWatchedServers(ForwarderState& state) {
   std::map<std::string, int> servers;
   for (const auto& [id, backend] : state.m_backends) {
     if (!backend.m_leaving && !backend.m_record.data_centre.empty())
@@ -62,35 +65,36 @@
   SetWatched(state.m_outages, servers);
 }
 
-void TakeSuspects(ForwarderState& state, const std::vector<std::string>& suspects) {
+void HandleSuspects(ForwarderState& state, const std::vector<std::string>& suspects) {
   state.m_suspects = suspects;
-  // After a loss of power a connection from before is a reset: its request may have run for all
-  // that is known. A new one that doesn't come up tells that nothing was sent.
+  // After a power loss, a request on an old connection ends with a reset, and may have run as far
+  // as this instance knows. If a new connection can't be opened, it is certain that nothing was
+  // sent.
   for (const auto& [id, backend] : state.m_backends) {
     const std::string& data_centre = backend.m_record.data_centre;
     const bool lost = std::find(suspects.begin(), suspects.end(), data_centre) != suspects.end();
     if (lost && data_centre != state.m_settings.m_data_centre)
-      state.m_connections->Forget(backend.m_place);
+      state.m_connections->Forget(backend.m_endpoint);
   }
 }
 
-void EndSilentCalls(ForwarderState& state, Instant now) {
+void LeaveLostDataCentres(ForwarderState& state, Instant now) {
   OutageEvent event;
   while (EndRecoveredOutage(state.m_outages, now, event))
-    LogNews(event);
+    LogOutageEvent(event);
   if (state.m_suspects.empty())
     return;
   std::vector<ForwardingRef> silent;
   for (const auto& [ref, forwarding] : state.m_forwardings) {
     const bool called = forwarding->m_stage == ForwardingStage::kCalling ||
                         forwarding->m_stage == ForwardingStage::kRelaying;
-    if (called && IsSilentAtLost(state, *forwarding, now))
+    if (called && IsSilentAtLostDataCentre(state, *forwarding, now))
       silent.push_back(ref);
   }
   for (const ForwardingRef ref : silent) {
     Forwarding* forwarding = Find(state, ref);
     const std::string server = forwarding->m_server;
-    if (LeaveServer(state, *forwarding, "data_centre_lost"))
+    if (RetryElsewhere(state, *forwarding, "data_centre_lost"))
       POPPYWAY_LOG(info, "silent_call_left")
           .Field("request", forwarding->m_request.m_id)
           .Field("server", server);
--- a/packages/forward/src/queue.cc
+++ b/packages/forward/src/queue.cc
@@ -7,21 +7,23 @@
 namespace poppyway::impl {
 namespace {
 
-// A request is refused once it has waited this share of its aim: early enough that a caller who
-// comes back and is served then still has something of it.
-constexpr double kWaitShare = 0.22;
-// A caller told to come back uses up at most this share of the time it has left.
-constexpr double kComeBackShare = 0.3;
-constexpr Duration kComeBackLeast{150'000};  // Sooner, nothing will have changed.
-constexpr Duration kComeBackMost{2'000'000};
-constexpr int kDepthWithoutRoom = 8;  // After so many that find no room the rest is not tried.
+// A request is rejected once it has waited this share of its latency target, early enough for the
+// caller's retry to be useful.
+constexpr double kQueueTimeShare = 0.22;
+// The retry delay is at most this share of the time until the caller's deadline, or
+// `kMinRetryAfter` if that is longer.
+constexpr double kRetryAfterShare = 0.3;
+constexpr Duration kMinRetryAfter{150'000};  // Earlier, nothing will have changed.
+constexpr Duration kMaxRetryAfter{2'000'000};
+// After this many requests without a free slot, the rest of the queue is not tried.
+constexpr int kMaxUnplaceable = 8;
 
 Duration Scale(Duration duration, double factor) {
   return Duration(static_cast<std::int64_t>(static_cast<double>(duration.count()) * factor));
 }
 
-/// True while its key may still be relied on.
-bool StillConfirmed(const ForwarderState& state, const Forwarding& forwarding, Instant now) {
+/// Returns true while the request's API key is known to be valid.
+bool IsKeyConfirmed(const ForwarderState& state, const Forwarding& forwarding, Instant now) {
   return forwarding.m_workspace == nullptr || now < state.m_confirmed_until;
 }
 
@@ -32,53 +34,54 @@
           forwarding.m_ref};
 }
 
-Duration FirstWait(const Forwarding& forwarding) noexcept {
-  return Scale(forwarding.m_route->m_latency_target, kWaitShare);
+Duration InitialQueueTimeout(const Forwarding& forwarding) noexcept {
+  return Scale(forwarding.m_route->m_latency_target, kQueueTimeShare);
 }
 
 void PutInQueue(ForwarderState& state, Forwarding& forwarding, Instant until) {
   forwarding.m_stage = ForwardingStage::kWaiting;
   forwarding.m_wait_until = std::min(until, forwarding.m_deadline);
   state.m_pools[forwarding.m_pool->m_name].m_waiting[OrderOf(forwarding)] = forwarding.m_ref;
-  if (state.m_broker.m_active && !IsQuiet(state.m_broker))
-    AskBroker(state, forwarding);
+  if (state.m_broker.m_active && !IsBrokerOverdue(state.m_broker))
+    RequestSlot(state, forwarding);
 }
 
 void ServeQueue(ForwarderState& state, const std::string& pool) {
   const Instant now = ReadClock();
   WaitingQueue& waiting = state.m_pools[pool].m_waiting;
-  int without_room = 0;
+  int unplaceable = 0;
   Tier most_urgent = kTiers;
-  for (auto it = waiting.begin(); it != waiting.end() && without_room < kDepthWithoutRoom;) {
+  for (auto it = waiting.begin(); it != waiting.end() && unplaceable < kMaxUnplaceable;) {
     Forwarding* forwarding = Find(state, it->second);
     if (forwarding == nullptr) {
       it = waiting.erase(it);
       continue;
     }
     if (forwarding->m_slot_request != 0) {
-      ++it;  // The broker decides.
+      ++it;  // The broker places it.
       continue;
     }
-    if (NoneAtHome(state, *forwarding)) {
+    if (NoServerInHomeRegion(state, *forwarding)) {
       ++it;
       Refuse(state, *forwarding,
-             forwarding->m_unsure > 0 ? ResultCode::kOutcomeUnknown : ResultCode::kNoBackend,
+             forwarding->m_possible_runs > 0 ? ResultCode::kOutcomeUnknown : ResultCode::kNoBackend,
              "the pool has no server in a home region");
       continue;
     }
     if (!ChargeQuotaWithoutBroker(state, *forwarding, now)) {
       ++it;
-      Refuse(state, *forwarding,
-             forwarding->m_unsure > 0 ? ResultCode::kOutcomeUnknown : ResultCode::kQuotaSpent,
-             "the workspace has used up its limit");
+      Refuse(
+          state, *forwarding,
+          forwarding->m_possible_runs > 0 ? ResultCode::kOutcomeUnknown : ResultCode::kQuotaSpent,
+          "the workspace has used up its limit");
       continue;
     }
     const Tier route_tier = forwarding->m_route->m_tier;
     const std::optional<std::string> server =
         ChooseBackend(state, *forwarding, route_tier > most_urgent);
-    const bool may = server && StillConfirmed(state, *forwarding, now);
+    const bool may = server && IsKeyConfirmed(state, *forwarding, now);
     if (!may) {
-      ++without_room;
+      ++unplaceable;
       most_urgent = std::min(most_urgent, route_tier);
       ++it;
       continue;
@@ -95,13 +98,13 @@
       const Forwarding* forwarding = Find(state, ref);
       if (forwarding == nullptr)
         continue;
-      // What the broker has is refused by the broker.
+      // The broker rejects requests that are in its queue.
       const Instant until =
           forwarding->m_slot_request != 0 ? forwarding->m_deadline : forwarding->m_wait_until;
-      const bool nowhere =
-          forwarding->m_slot_request == 0 &&
-          (EvacuatedAway(state, *forwarding) || AllBackOff(state, *forwarding, now) > until - now);
-      if (now >= until || nowhere)
+      const bool unservable = forwarding->m_slot_request == 0 &&
+                              (HasOnlyEvacuatedServers(state, *forwarding) ||
+                               RemainingBackOff(state, *forwarding, now) > until - now);
+      if (now >= until || unservable)
         expired.push_back(ref);
     }
   }
@@ -110,28 +113,28 @@
     if (forwarding == nullptr)
       continue;
     const bool any = !state.m_pools[forwarding->m_pool->m_name].m_servers.empty() &&
-                     !EvacuatedAway(state, *forwarding);
+                     !HasOnlyEvacuatedServers(state, *forwarding);
     forwarding->m_estimated_wait =
-        AllBackOff(state, *forwarding, now).value_or(forwarding->m_estimated_wait);
-    if (forwarding->m_unsure > 0)
-      Refuse(state, *forwarding, ResultCode::kOutcomeUnknown, "no other server had room");
+        RemainingBackOff(state, *forwarding, now).value_or(forwarding->m_estimated_wait);
+    if (forwarding->m_possible_runs > 0)
+      Refuse(state, *forwarding, ResultCode::kOutcomeUnknown, "no other server had a free slot");
     else
       Refuse(state, *forwarding, any ? ResultCode::kOverload : ResultCode::kNoBackend,
-             "no server had room in time");
+             "no server had a free slot in time");
   }
 }
 
-Duration ComeBackAfter(ForwarderState& state, const Forwarding& forwarding, ResultCode code) {
+Duration RetryDelay(ForwarderState& state, const Forwarding& forwarding, ResultCode code) {
   if (code == ResultCode::kStopping)
-    return Duration(0);  // Any other instance can serve it now.
+    return Duration(0);  // Any other instance can serve the request now.
   const Duration left = forwarding.m_deadline - ReadClock();
   const double spread =
       0.5 + 0.5 * static_cast<double>(state.m_random() >> 11) / 9007199254740992.0;
   if (forwarding.m_estimated_wait > Duration(0))
-    return std::clamp(Scale(forwarding.m_estimated_wait, 2 * spread), kComeBackLeast,
-                      std::max(kComeBackLeast, Scale(left, kComeBackShare)));
-  const Duration most = std::min(kComeBackMost, Scale(left, kComeBackShare));
-  return std::max(kComeBackLeast, Scale(most, spread));
+    return std::clamp(Scale(forwarding.m_estimated_wait, 2 * spread), kMinRetryAfter,
+                      std::max(kMinRetryAfter, Scale(left, kRetryAfterShare)));
+  const Duration most = std::min(kMaxRetryAfter, Scale(left, kRetryAfterShare));
+  return std::max(kMinRetryAfter, Scale(most, spread));
 }
 
 }  // namespace poppyway::impl
--- a/packages/forward/src/route_table.cc
+++ b/packages/forward/src/route_table.cc
@@ -59,13 +59,13 @@
       const std::string& right = table.m_routes[b].m_prefix;
       return left.size() != right.size() ? left.size() > right.size() : left < right;
     });
-    const auto twice =
+    const auto duplicate =
         std::adjacent_find(routes.begin(), routes.end(), [&table](std::size_t a, std::size_t b) {
           return table.m_routes[a].m_prefix == table.m_routes[b].m_prefix;
         });
-    if (twice != routes.end())
+    if (duplicate != routes.end())
       return Fail(ResultCode::kBadDeclaration,
-                  "two routes serve '" + host + table.m_routes[*twice].m_prefix + "'");
+                  "two routes serve '" + host + table.m_routes[*duplicate].m_prefix + "'");
   }
   return {};
 }
@@ -146,14 +146,14 @@
 }
 
 const std::string& PickPool(const Route& route, std::uint64_t random) noexcept {
-  constexpr double kRange = 9007199254740992.0;  // 2^53: what a double holds exactly.
+  constexpr double kRange = 9007199254740992.0;  // 2^53, the integers that a double holds exactly.
   double at = static_cast<double>(random >> 11) / kRange * WeightSum(route);
   for (const PoolWeight& part : route.m_pools) {
     at -= part.m_weight;
     if (at < 0)
       return part.m_pool;
   }
-  // Rounding: the last pool that gets anything.
+  // Rounding can leave a rest; the last pool with a weight gets it.
   const auto last = std::find_if(route.m_pools.rbegin(), route.m_pools.rend(),
                                  [](const PoolWeight& part) { return part.m_weight > 0; });
   return last->m_pool;
--- a/packages/forward/src/server_notice.cc
+++ b/packages/forward/src/server_notice.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What backend servers say of themselves in their answers, beside the answer itself.
+// Drain and back-off notices that backend servers add to their responses.
 #include <algorithm>
 
 #include "steps.h"
@@ -8,7 +8,7 @@
 namespace poppyway::impl {
 namespace {
 
-void NoteUnreadable(ForwarderState& state, const Forwarding& forwarding, const std::string& field) {
+void LogUnreadable(ForwarderState& state, const Forwarding& forwarding, const std::string& field) {
   state.m_metrics.Add("poppyway_forward_unreadable_fields_total", "field=\"" + field + "\"");
   POPPYWAY_LOG(warning, "field_unreadable")
       .Field("request", forwarding.m_request.m_id)
@@ -16,7 +16,7 @@
       .Field("field", field);
 }
 
-ServerNotice WordOf(const Backend& backend, Instant now) {
+ServerNotice MakeNotice(const Backend& backend, Instant now) {
   ServerNotice notice;
   notice.m_server = backend.m_record.id;
   notice.m_started_ms = backend.m_record.born;
@@ -25,21 +25,21 @@
   return notice;
 }
 
-/// The broker would go on to give this instance places there, each of which costs a request the way
-/// to the broker and back. What is on its way is held back here, at the last look before the first
-/// byte: see `CheckEligibilityOnSend`.
-void TellBroker(ForwarderState& state, const Backend& backend, Instant now) {
+/// Sends a server's notice to the broker. Without it, the broker would assign more slots there,
+/// each of which costs a request a round trip to the broker. Slots that are already assigned are
+/// returned by `CheckEligibilityOnSend`, the check before the first byte is sent.
+void NotifyBroker(ForwarderState& state, const Backend& backend, Instant now) {
   if (!state.m_broker.m_active)
     return;
-  state.m_broker.m_outbox.m_notices.push_back(WordOf(backend, now));
+  state.m_broker.m_outbox.m_notices.push_back(MakeNotice(backend, now));
   FlushToBroker(state);
 }
 
-void TakeBackOff(ForwarderState& state,
-                 Backend& backend,
-                 const Forwarding& forwarding,
-                 Duration back_off,
-                 Instant now) {
+void HandleBackOff(ForwarderState& state,
+                   Backend& backend,
+                   const Forwarding& forwarding,
+                   Duration back_off,
+                   Instant now) {
   const Duration before = std::max(Duration(0), backend.m_back_off_until - now);
   state.m_metrics.Add("poppyway_forward_back_offs_total");
   POPPYWAY_LOG(info, "server_backs_off")
@@ -52,13 +52,13 @@
     return;
   backend.m_back_off_until = now + back_off;
   state.m_back_off_until = std::max(state.m_back_off_until, backend.m_back_off_until);
-  TellBroker(state, backend, now);
+  NotifyBroker(state, backend, now);
 }
 
-void TakeLeaving(ForwarderState& state,
-                 Backend& backend,
-                 const Forwarding& forwarding,
-                 Instant now) {
+void HandleLeaving(ForwarderState& state,
+                   Backend& backend,
+                   const Forwarding& forwarding,
+                   Instant now) {
   if (backend.m_announced_leaving)
     return;
   state.m_metrics.Add("poppyway_forward_servers_leaving_total");
@@ -70,56 +70,55 @@
   backend.m_announced_leaving = true;
   backend.m_leaving = true;
   IndexPools(state);
-  WatchServers(state);
-  TellBroker(state, backend, now);
+  UpdateWatchedServers(state);
+  NotifyBroker(state, backend, now);
 }
 
 }  // namespace
 
-void TakeServerWord(ForwarderState& state,
-                    const Forwarding& forwarding,
-                    const ServerResponse& answer) {
+void HandleServerNotice(ForwarderState& state,
+                        const Forwarding& forwarding,
+                        const ServerResponse& answer) {
   if (!answer.m_unreadable.empty())
-    NoteUnreadable(state, forwarding, answer.m_unreadable);
+    LogUnreadable(state, forwarding, answer.m_unreadable);
   if (!answer.m_leaving && !answer.m_back_off)
-    return;  // As most answers: no server is looked up for them.
-  // Of a server that has taken the place of the one that was meant, the answer speaks of the
-  // former.
+    return;  // Most responses have no notice; this saves the look-up.
+  // If another server answered at the address, the notice is about that server.
   Backend* backend = answer.m_other_server ? FindBackend(state, *answer.m_other_server)
-                                           : FindOwnBackend(state, forwarding);
+                                           : FindCalledBackend(state, forwarding);
   if (backend == nullptr)
     return;
   const Instant now = ReadClock();
   if (answer.m_leaving)
-    TakeLeaving(state, *backend, forwarding, now);
+    HandleLeaving(state, *backend, forwarding, now);
   if (answer.m_back_off)
-    TakeBackOff(state, *backend, forwarding, *answer.m_back_off, now);
+    HandleBackOff(state, *backend, forwarding, *answer.m_back_off, now);
 }
 
-std::vector<ServerNotice> WordsInForce(const ForwarderState& state, Instant now) {
+std::vector<ServerNotice> CurrentNotices(const ForwarderState& state, Instant now) {
   std::vector<ServerNotice> notices;
   for (const auto& [id, backend] : state.m_backends) {
     const bool holds = backend.m_announced_leaving || now < backend.m_back_off_until;
     if (holds)
-      notices.push_back(WordOf(backend, now));
+      notices.push_back(MakeNotice(backend, now));
   }
   return notices;
 }
 
-std::optional<Duration> AllBackOff(const ForwarderState& state,
-                                   const Forwarding& forwarding,
-                                   Instant now) {
+std::optional<Duration> RemainingBackOff(const ForwarderState& state,
+                                         const Forwarding& forwarding,
+                                         Instant now) {
   const auto pool = state.m_pools.find(forwarding.m_pool->m_name);
   if (now >= state.m_back_off_until || pool == state.m_pools.end())
     return std::nullopt;
   const std::vector<std::string>& ids = pool->second.m_servers;
-  const auto bar_of = [&](std::size_t i) {
+  const auto reason_of = [&](std::size_t i) {
     return CheckServerEligibility(state, forwarding, state.m_backends.at(ids[i]), now);
   };
   const auto left_of = [&](std::size_t i) {
     return state.m_backends.at(ids[i]).m_back_off_until - now;
   };
-  return ShortestBackOff(ids.size(), bar_of, left_of);
+  return ShortestBackOff(ids.size(), reason_of, left_of);
 }
 
 }  // namespace poppyway::impl
--- a/packages/forward/src/start.cc
+++ b/packages/forward/src/start.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What reaches an instance that has just started, before it knows the configuration.
+// Requests that reach an instance after its start, before it knows the configuration.
 #include <algorithm>
 
 #include "steps.h"
@@ -8,42 +8,43 @@
 namespace poppyway::impl {
 namespace {
 
-// An instance knows the configuration 0.4 to 0.6 s after it starts, if a leader is there. Callers
-// who lost their connection to a failure have mostly one try left: it had better not meet a
-// refusal. With a tenth of the patience and 1 s in place of these, 109 callers were refused
-// after all instances had lost power at once; with these 13.
-constexpr Duration kMostStartWait{1'500'000};
-constexpr double kStartWaitShare = 0.5;     // Of the caller's patience: the rest is for the answer.
-constexpr std::size_t kMostAwaiting = 512;  // Bounds the memory of a herd of callers.
+// An instance knows the configuration 0.4 to 0.6 s after its start, if there is a leader. Callers
+// that lost their connection in a failure mostly have one attempt left, which should not be
+// rejected. With a tenth of the caller's timeout and 1 s instead of these values, 109 callers were
+// rejected after all instances had lost power at once; with these values 13 were.
+constexpr Duration kMaxStartWait{1'500'000};
+// Share of the caller's timeout; the rest is for the response.
+constexpr double kStartWaitShare = 0.5;
+constexpr std::size_t kMaxAwaiting = 512;  // Bounds the memory when many callers reconnect at once.
 
 Duration StartWait(const Forwarding& forwarding) {
-  const Duration patience = forwarding.m_request.m_timeout.value_or(Duration(0));
+  const Duration timeout = forwarding.m_request.m_timeout.value_or(Duration(0));
   const auto share =
-      static_cast<std::int64_t>(kStartWaitShare * static_cast<double>(patience.count()));
-  return std::min(kMostStartWait, Duration(share));
+      static_cast<std::int64_t>(kStartWaitShare * static_cast<double>(timeout.count()));
+  return std::min(kMaxStartWait, Duration(share));
 }
 
 }  // namespace
 
-bool IsStarting(const ForwarderState& state) noexcept {
+bool IsUnconfigured(const ForwarderState& state) noexcept {
   return !state.m_table || state.m_confirmed_until == Instant{};
 }
 
-void AwaitStart(ForwarderState& state, Forwarding& forwarding) {
-  if (state.m_stopping || state.m_awaiting_start.size() >= kMostAwaiting) {
+void HoldUntilConfigured(ForwarderState& state, Forwarding& forwarding) {
+  if (state.m_stopping || state.m_held_requests.size() >= kMaxAwaiting) {
     Refuse(state, forwarding, ResultCode::kNotReady, "no configuration is known yet");
     return;
   }
   forwarding.m_deadline = forwarding.m_arrived + StartWait(forwarding);
-  state.m_awaiting_start.push_back(forwarding.m_ref);
+  state.m_held_requests.push_back(forwarding.m_ref);
 }
 
-void EndStart(ForwarderState& state) {
-  if (IsStarting(state) || state.m_awaiting_start.empty())
+void ServeHeld(ForwarderState& state) {
+  if (IsUnconfigured(state) || state.m_held_requests.empty())
     return;
-  POPPYWAY_LOG(info, "start_ended").Field("awaiting", state.m_awaiting_start.size());
-  const std::vector<ForwardingRef> awaiting = std::move(state.m_awaiting_start);
-  state.m_awaiting_start.clear();
+  POPPYWAY_LOG(info, "start_ended").Field("awaiting", state.m_held_requests.size());
+  const std::vector<ForwardingRef> awaiting = std::move(state.m_held_requests);
+  state.m_held_requests.clear();
   for (const ForwardingRef ref : awaiting) {
     Forwarding* forwarding = Find(state, ref);
     if (forwarding != nullptr && forwarding->m_stage == ForwardingStage::kNew)
@@ -51,9 +52,9 @@
   }
 }
 
-void ExpireStart(ForwarderState& state, Instant now) {
+void ExpireHeld(ForwarderState& state, Instant now) {
   std::vector<ForwardingRef> kept;
-  for (const ForwardingRef ref : state.m_awaiting_start) {
+  for (const ForwardingRef ref : state.m_held_requests) {
     Forwarding* forwarding = Find(state, ref);
     if (forwarding == nullptr || forwarding->m_stage != ForwardingStage::kNew)
       continue;
@@ -61,9 +62,9 @@
       kept.push_back(ref);
       continue;
     }
-    Refuse(state, *forwarding, ResultCode::kNotReady, "no configuration became known in time");
+    Refuse(state, *forwarding, ResultCode::kNotReady, "no configuration was received in time");
   }
-  state.m_awaiting_start = std::move(kept);
+  state.m_held_requests = std::move(kept);
 }
 
 }  // namespace poppyway::impl
--- a/packages/forward/src/steps.h
+++ b/packages/forward/src/steps.h
@@ -6,241 +6,265 @@
 
 namespace poppyway::impl {
 
-/// \brief What a filter decided.
+/// \brief The result of a step of `RunChain`.
 enum class Step : std::uint8_t {
   kContinue,
-  kEnded,  ///< The request has its answer.
+  kEnded,  ///< The caller has been sent its final response.
 };
 
-// ---- chain.cc: the filters, in order; each answers a refusal itself ----------------------------
+// ---- chain.cc: the steps of a new request; at `kEnded` it has been rejected --------------------
+/// Runs all steps of a new request, up to its pool's queue.
 void RunChain(ForwarderState& state, Forwarding& forwarding);
-[[nodiscard]] Step CheckInForce(ForwarderState& state, Forwarding& forwarding);
+/// Keeps the current route table for the lifetime of the request.
+[[nodiscard]] Step PinRouteTable(ForwarderState& state, Forwarding& forwarding);
+/// Finds the route; sets its tier and the deadline.
 [[nodiscard]] Step MatchRoute(ForwarderState& state, Forwarding& forwarding);
-[[nodiscard]] Step CheckStop(ForwarderState& state, Forwarding& forwarding);
+/// During a shutdown, rejects a late request that may not end in time.
+[[nodiscard]] Step CheckShutdown(ForwarderState& state, Forwarding& forwarding);
+/// Finds the workspace by the request's API key; sets its tier.
 [[nodiscard]] Step IdentifyWorkspace(ForwarderState& state, Forwarding& forwarding);
-[[nodiscard]] Step SetHomes(ForwarderState& state, Forwarding& forwarding);
-/// Notes what the request takes of its workspace's limit; it is taken with the place.
+/// Sets the regions that may serve the request; rejects it if there are none.
+[[nodiscard]] Step SetHomeRegions(ForwarderState& state, Forwarding& forwarding);
+/// Sets the quota cost of the request, which is charged when it gets a slot.
 void PriceRequest(ForwarderState& state, Forwarding& forwarding);
+/// Picks a pool and puts the request into its queue.
 void Enqueue(ForwarderState& state, Forwarding& forwarding);
 
 // ---- start.cc ----------------------------------------------------------------------------------
-/// True until this instance has acted on a confirmed configuration once.
-[[nodiscard]] bool IsStarting(const ForwarderState& state) noexcept;
-/// Keeps a request until the configuration is known, for a small part of its caller's patience.
-void AwaitStart(ForwarderState& state, Forwarding& forwarding);
-/// Serves what awaited the configuration, once that is known.
-void EndStart(ForwarderState& state);
-/// Refuses what has awaited the configuration for too long.
-void ExpireStart(ForwarderState& state, Instant now);
+/// Returns true until this instance has had a confirmed configuration once.
+[[nodiscard]] bool IsUnconfigured(const ForwarderState& state) noexcept;
+/// Holds a request until the configuration is known, for a part of its caller's timeout.
+void HoldUntilConfigured(ForwarderState& state, Forwarding& forwarding);
+/// Runs all held requests once the configuration is known and confirmed.
+void ServeHeld(ForwarderState& state);
+/// Rejects requests that have been held for too long.
+void ExpireHeld(ForwarderState& state, Instant now);
 
 // ---- homes.cc ----------------------------------------------------------------------------------
-/// Where a request may be served: in regions that are homes by the document that it arrived under
-/// and by the one in force now. Precondition: its route is known.
-[[nodiscard]] HomeRegions HomesNow(const ForwarderState& state, const Forwarding& forwarding);
-/// A document has come into force: requests that aren't over keep to its homes from now on.
-void RefreshHomes(ForwarderState& state);
-/// True if the pool has servers, and the request may be served at none of them.
-[[nodiscard]] bool NoneAtHome(const ForwarderState& state, const Forwarding& forwarding);
+/// Returns the regions where a request may be served: those that both the document at its arrival
+/// and the current one allow. Precondition: its route is known.
+[[nodiscard]] HomeRegions CurrentHomes(const ForwarderState& state, const Forwarding& forwarding);
+/// Applies the home regions of a new document to all requests that haven't ended.
+void RefreshHomeRegions(ForwarderState& state);
+/// Returns true if the pool has servers, but none in the request's home regions.
+[[nodiscard]] bool NoServerInHomeRegion(const ForwarderState& state, const Forwarding& forwarding);
 
 // ---- queue.cc ----------------------------------------------------------------------------------
-/// Its place in its pool's queue.
+/// Returns the request's key in its pool's queue.
 [[nodiscard]] WaitingOrder OrderOf(const Forwarding& forwarding) noexcept;
-/// How long a new request may wait for room.
-[[nodiscard]] Duration FirstWait(const Forwarding& forwarding) noexcept;
-/// Puts a request into its pool's queue, to be refused after `until`, and asks the broker for a
-/// place if there is one.
+/// Returns how long a new request may wait for a free slot.
+[[nodiscard]] Duration InitialQueueTimeout(const Forwarding& forwarding) noexcept;
+/// Puts a request into its pool's queue, where it is rejected after `until`, and requests a slot of
+/// the broker if one responds.
 void PutInQueue(ForwarderState& state, Forwarding& forwarding, Instant until);
-/// Dispatches what has room now and isn't at the broker, highest tier first.
+/// Dispatches queued requests that have a free slot and no pending slot request, in queue order.
 void ServeQueue(ForwarderState& state, const std::string& pool);
-/// Refuses what has waited too long for its aim.
+/// Rejects requests that have waited too long, or that no server can serve in time.
 void ExpireWaiting(ForwarderState& state, Instant now);
-/// When a refused caller should come back.
-[[nodiscard]] Duration ComeBackAfter(ForwarderState& state,
-                                     const Forwarding& forwarding,
-                                     ResultCode code);
+/// Returns the delay that a rejected caller is told to retry after.
+[[nodiscard]] Duration RetryDelay(ForwarderState& state,
+                                  const Forwarding& forwarding,
+                                  ResultCode code);
 
 // ---- broker_link.cc ----------------------------------------------------------------------------
-/// Asks the broker for a place. Precondition: the link is active, the request waits.
-void AskBroker(ForwarderState& state, Forwarding& forwarding);
-/// The request no longer awaits the broker's answer, if it did.
-void WithdrawAsk(ForwarderState& state, Forwarding& forwarding);
-void TakeAnswers(ForwarderState& state, const SlotResponses& message);
-/// Tells the broker all that it has to know of this instance, and asks for all that waits.
+/// Requests a slot of the broker. Precondition: the link is active and the request is queued.
+void RequestSlot(ForwarderState& state, Forwarding& forwarding);
+/// Cancels the request's pending slot request, if it has one.
+void CancelSlotRequest(ForwarderState& state, Forwarding& forwarding);
+/// Handles responses of the connected broker; those of another epoch are ignored.
+void HandleSlotResponses(ForwarderState& state, const SlotResponses& message);
+/// Sends a new broker the full state of this instance and requests slots for all queued requests.
 void OnBrokerFound(ForwarderState& state, const BrokerConnected& message);
-/// Decides alone from now on.
+/// Places requests without a broker from now on.
 void OnBrokerLost(ForwarderState& state, std::string_view why);
-/// True while a place request has gone without an answer for too long: this instance decides.
-[[nodiscard]] inline bool IsQuiet(const BrokerLink& link) noexcept {
-  return link.m_quiet_since != Instant{};
+/// Returns true while a slot response is overdue; this instance then places requests itself.
+[[nodiscard]] inline bool IsBrokerOverdue(const BrokerLink& link) noexcept {
+  return link.m_overdue_since != Instant{};
 }
-/// Decides alone while the broker is quiet, and gives it up if it stays so.
+/// Detects overdue slot responses, and disconnects from a broker that doesn't recover.
 void CheckBroker(ForwarderState& state, Instant now);
-/// Tells the broker of a place that it didn't give.
-void TellHeld(ForwarderState& state, const Forwarding& forwarding);
-/// Tells what is known of a place; with `ended` it is free.
-void TellPlace(ForwarderState& state, Forwarding& forwarding, bool ended);
-/// Sends what has gathered for the broker.
+/// Reports a slot to the broker that this instance took without it.
+void ReportHeldSlot(ForwarderState& state, const Forwarding& forwarding);
+/// Sends the collected data about a slot to the broker; `ended` releases the slot.
+void ReportSlot(ForwarderState& state, Forwarding& forwarding, bool ended);
+/// Sends the outbox to the broker.
 void FlushToBroker(ForwarderState& state);
 
-// ---- without_broker.cc: without a broker
-// ----------------------------------------------------------------
-/// Takes the request's cost from this instance's part of the limit; false if it is used up.
+// ---- without_broker.cc -------------------------------------------------------------------------
+/// Charges the request's cost to this instance's share of the limit, unless it is charged already.
+/// Returns false if the share is used up.
 [[nodiscard]] bool ChargeQuotaWithoutBroker(ForwarderState& state,
                                             Forwarding& forwarding,
                                             Instant now);
-/// Gives it back: no server ran the request.
+/// Refunds that charge. Precondition: no server ran the request.
 void RefundWithoutBroker(ForwarderState& state, Forwarding& forwarding);
-/// Places of a server that this instance may hold in all.
+/// Returns how many slots of a server this instance may use in total.
 [[nodiscard]] int SlotsWithoutBroker(const ForwarderState& state, const Backend& backend);
 
-// ---- slow_start.cc: cold servers, as this instance knows of them
-// -------------------------------------
-/// What the document in force says of cold servers of a pool, with the most they may get.
-[[nodiscard]] SlowStartLimit ColdLimitOf(const ForwarderState& state, const std::string& pool);
-/// Takes what a server's record and the orders say. `fresh`: it appeared while this instance
-/// served.
+// ---- slow_start.cc -----------------------------------------------------------------------------
+/// Returns the pool's slow-start limit of the current document, with tolerance; empty if none.
+[[nodiscard]] SlowStartLimit SlowStartLimitOf(const ForwarderState& state, const std::string& pool);
+/// Updates a server's slow-start state from its record and the evacuations. `fresh`: the server
+/// was added while this instance was serving.
 void UpdateSlowStart(ForwarderState& state, Backend& backend, bool fresh, Instant now);
-/// A request to the server ended.
-void ObserveRestartSign(ForwarderState& state, Backend& backend, HealthSignal sign, Instant now);
-/// This instance is about to choose a server of a pool by itself.
-void BeginColdAlone(ForwarderState& state, const std::string& pool, Instant now);
-/// It chose the server by itself.
-void NoteColdAlone(ForwarderState& state, Backend& backend, Instant now);
+/// Updates a server's slow-start state when a request to it ends.
+void ObserveRestartSign(ForwarderState& state, Backend& backend, HealthSignal signal, Instant now);
+/// Prepares the send budgets of a pool's cold servers before this instance chooses a server.
+void BeginColdSendsWithoutBroker(ForwarderState& state, const std::string& pool, Instant now);
+/// Counts a send to a server that this instance chose itself, if the server is cold.
+void RecordColdSendWithoutBroker(ForwarderState& state, Backend& backend, Instant now);
 
 // ---- dispatch.cc -------------------------------------------------------------------------------
-/// Sends a request to a server. Precondition: it is in no queue.
+/// Starts a call to a server. Preconditions: the request is in no queue and the server is known.
 void Dispatch(ForwarderState& state, Forwarding& forwarding, const std::string& server);
 
-// ---- relay.cc: what a call reports -------------------------------------------------------------
+// ---- relay.cc: callbacks of a call -------------------------------------------------------------
+/// Handles a response head, and returns `kSkip` if it answers another request.
 [[nodiscard]] HeadVerdict OnHead(ForwarderState& state,
                                  ForwardingRef ref,
                                  int status,
                                  std::vector<Field> fields);
+/// Relays or buffers bytes of the response body.
 void OnData(ForwarderState& state, ForwardingRef ref, std::string_view bytes);
-void OnWhole(ForwarderState& state, ForwardingRef ref);
+/// Handles the end of a complete response.
+void OnComplete(ForwarderState& state, ForwardingRef ref);
+/// Handles a failed call.
 void OnFault(ForwarderState& state, ForwardingRef ref, CallFault fault);
-/// The server may have run the request, and no whole answer will come from it: tries elsewhere what
-/// may run again, and ends any other.
-void OnBroken(ForwarderState& state, Forwarding& forwarding, std::string_view why);
-/// Gives up the call under way and lets the request run elsewhere; false if it may not.
-[[nodiscard]] bool LeaveServer(ForwarderState& state, Forwarding& forwarding, std::string_view why);
-
-// ---- server_notice.cc: what servers say of themselves
-// ---------------------------------------------
-/// Takes what the head of an answer says of its server, whatever request it answers, and tells the
-/// broker.
-void TakeServerWord(ForwarderState& state,
-                    const Forwarding& forwarding,
-                    const ServerResponse& answer);
-/// All that servers have said and that still holds, for a broker that knows nothing of it.
-[[nodiscard]] std::vector<ServerNotice> WordsInForce(const ForwarderState& state, Instant now);
-/// When the first of the servers that could serve the request wants something again, if all of them
-/// have asked this instance to send nothing for a while.
-[[nodiscard]] std::optional<Duration> AllBackOff(const ForwarderState& state,
-                                                 const Forwarding& forwarding,
-                                                 Instant now);
+/// Handles a call that may have run but returns no complete response: retries the request if it may
+/// run again, and ends it otherwise.
+void OnIncompleteResponse(ForwarderState& state, Forwarding& forwarding, std::string_view why);
+/// Abandons the active call and retries the request at another server. Returns false, without any
+/// change, if it may not be retried.
+[[nodiscard]] bool RetryElsewhere(ForwarderState& state,
+                                  Forwarding& forwarding,
+                                  std::string_view why);
+
+// ---- server_notice.cc: drain and back-off notices in responses ---------------------------------
+/// Applies the drain and back-off notices of a response head, whichever request it answers, and
+/// forwards them to the broker.
+void HandleServerNotice(ForwarderState& state,
+                        const Forwarding& forwarding,
+                        const ServerResponse& answer);
+/// Returns all notices that still apply, for a new broker.
+[[nodiscard]] std::vector<ServerNotice> CurrentNotices(const ForwarderState& state, Instant now);
+/// Returns the time until the first back-off ends, if all servers that could serve the request have
+/// asked this instance to back off.
+[[nodiscard]] std::optional<Duration> RemainingBackOff(const ForwarderState& state,
+                                                       const Forwarding& forwarding,
+                                                       Instant now);
 
 // ---- finish.cc ---------------------------------------------------------------------------------
-/// Answers with a refusal or a failure of ours, or cuts an answer that has begun.
+/// Ends a request with an error response, or aborts a response that has begun.
 void Refuse(ForwarderState& state, Forwarding& forwarding, ResultCode code, std::string_view why);
-/// Ends a request in the books. Call once; the caller has its answer or is gone.
+/// Ends a request: logs and counts it and releases all that it holds. Further calls do nothing.
+/// Precondition: the caller has its response or has disconnected.
 void Close(ForwarderState& state, Forwarding& forwarding, ResultCode code, std::string_view why);
-/// Begins the answer with the head that the server gave.
-void StartAnswer(ForwarderState& state, Forwarding& forwarding, std::optional<std::size_t> length);
-/// The library has disposed of the request: its caller is gone or has the whole answer.
+/// Starts the caller's response with the server's response head. `length`: size of the body, if
+/// known.
+void StartResponse(ForwarderState& state,
+                   Forwarding& forwarding,
+                   std::optional<std::size_t> length);
+/// Called when the HTTP library disposes of the request: its caller has disconnected or has the
+/// complete response.
 void OnDisposed(ForwarderState& state, ForwardingRef ref);
-/// Puts the call under way aside and gives its place at the server back.
+/// Cancels the active call, if any, and releases its slot.
 void EndCall(ForwarderState& state, Forwarding& forwarding);
 
 // ---- backends.cc -------------------------------------------------------------------------------
-/// Takes what is told of one server. `IndexPools` follows.
-/// `fresh`: it appeared while this instance served.
-void TakeServer(ForwarderState& state, const wire::ServerRecord& record, bool fresh, Instant now);
-/// Lists anew which servers of each pool may get work.
+/// Applies a server record; an outdated one is ignored. `fresh`: the server was added while this
+/// instance was serving. The caller must call `IndexPools` afterwards.
+void UpdateServer(ForwarderState& state, const wire::ServerRecord& record, bool fresh, Instant now);
+/// Rebuilds the list of servers of each pool that may get requests.
 void IndexPools(ForwarderState& state);
-void TakeServers(ForwarderState& state, const std::vector<wire::ServerRecord>& records);
+/// Applies changed server records and serves all queues.
+void UpdateServers(ForwarderState& state, const std::vector<wire::ServerRecord>& records);
+/// Returns the server with this id, or null.
 [[nodiscard]] Backend* FindBackend(ForwarderState& state, const std::string& id);
-/// The server where a request should go now, if one has room.
-/// `yields`: something more urgent waits, here or at another instance.
+/// Chooses the server for a request, if one has a free slot now.
+/// `yields`: a request of a more urgent tier is queued.
 [[nodiscard]] std::optional<std::string> ChooseBackend(ForwarderState& state,
                                                        const Forwarding& forwarding,
                                                        bool yields);
-/// The round trip to a server of another region; zero for one of the own region.
+/// Returns the round-trip time to a server of another region; zero for the own region.
 [[nodiscard]] Duration RoundTripOf(const ForwarderState& state, const Backend& backend);
-/// A new connection to a server came up in `connect`; zero: none was opened.
-void LearnConnect(ForwarderState& state,
-                  Forwarding& forwarding,
-                  const Backend& backend,
-                  Duration connect);
-/// Learns from how a request ended at its server, here and for the broker.
-void NoteHealth(ForwarderState& state, Forwarding& forwarding, HealthSignal sign);
-/// `found` answered at the place of `meant`.
-void NoteOtherServer(ForwarderState& state, const std::string& meant, const std::string& found);
+/// Records the connect time of a new connection to a server; zero: none was opened.
+void RecordConnectTime(ForwarderState& state,
+                       Forwarding& forwarding,
+                       const Backend& backend,
+                       Duration connect);
+/// Records a health signal of the active call's server, locally and for the broker's report.
+void RecordHealth(ForwarderState& state, Forwarding& forwarding, HealthSignal signal);
+/// Marks the server `meant` as replaced, since the server `found` answered at its address.
+void RecordReplacement(ForwarderState& state, const std::string& meant, const std::string& found);
 
 // ---- evacuation.cc -----------------------------------------------------------------------------
-/// Takes all evacuations that were ordered.
-void TakeEvacuations(ForwarderState& state, const std::vector<wire::Evacuation>& evacuations);
-/// True if the server's data centre is to get nothing new.
+/// Applies new evacuations and ends of evacuations; known ones are ignored.
+void HandleEvacuations(ForwarderState& state, const std::vector<wire::Evacuation>& evacuations);
+/// Returns true if the server's data centre is evacuated and gets no new requests.
 [[nodiscard]] bool IsEvacuated(const ForwarderState& state, const Backend& backend);
-/// True if evacuations have left the request no server: none may take it before they end.
-[[nodiscard]] bool EvacuatedAway(const ForwarderState& state, const Forwarding& forwarding);
-/// Sets the counters of requests that still run at evacuated servers.
+/// Returns true if all servers that could serve the request are evacuated, and there are any.
+[[nodiscard]] bool HasOnlyEvacuatedServers(const ForwarderState& state,
+                                           const Forwarding& forwarding);
+/// Updates the metrics of requests that still run at evacuated servers.
 void CountEvacuated(ForwarderState& state);
 
-// ---- eligibility.cc: which servers may get a request
-// ------------------------------------------------
-/// What keeps a server from a request, where this instance chooses the server itself.
+// ---- eligibility.cc ----------------------------------------------------------------------------
+/// Returns why a server may not get a request, if this instance chooses the server itself.
 [[nodiscard]] IneligibleReason CheckServerEligibility(const ForwarderState& state,
                                                       const Forwarding& forwarding,
                                                       const Backend& backend,
                                                       Instant now);
-/// What keeps a request from a server that was chosen a moment ago. Failures since, and what a
-/// roll-out or the broker decided on purpose, don't.
+/// Returns why a request may not be sent to the server that was chosen for it. Recent failures and
+/// roll-outs don't count here, since the broker may choose such a server on purpose.
 [[nodiscard]] IneligibleReason CheckEligibilityOnSend(const ForwarderState& state,
                                                       const Forwarding& forwarding,
                                                       const Backend& backend,
                                                       Instant now);
-/// True if the server failed lately, or its data centre is held to be lost.
-[[nodiscard]] bool IsSuspectAlone(const ForwarderState& state, const Backend& backend, Instant now);
-/// None is free of suspicion: a suspect server is better than none, and so is one on trial if all
-/// that work are gone.
-void UseLastResorts(const ForwarderState& state,
-                    const Forwarding& forwarding,
-                    const std::vector<std::string>& ids,
-                    std::vector<ServerView>& views,
-                    Instant now);
-
-// ---- restarts.cc: servers that start again under their id
-// -----------------------------------------
-/// True if the record tells of a later life of the server than is known.
-[[nodiscard]] bool IsNewLife(const Backend& known, const wire::ServerRecord& record) noexcept;
-/// Forgets what was known of the server's earlier life. Its record is still that of the earlier
-/// one.
-void BeginLife(ForwarderState& state, Backend& backend, const wire::ServerRecord& record);
-/// Gives calls at a server whose birth is told for the first time that birth.
-void TakeBirth(ForwarderState& state, const std::string& server, std::int64_t started_ms);
-/// The server of the call under way, if it still lives the life that the call went to.
-[[nodiscard]] Backend* FindOwnBackend(ForwarderState& state, const Forwarding& forwarding);
-/// A place was given at a later life than this instance has heard of: takes it as heard.
-void HearOfLife(ForwarderState& state, const SlotResponse& answer);
-/// Ends calls to earlier lives that have been silent for too long.
+/// Returns true if this instance ejected the server, or considers it lost and it isn't due for a
+/// probe.
+[[nodiscard]] bool IsSuspectLocally(const ForwarderState& state,
+                                    const Backend& backend,
+                                    Instant now);
+/// Marks fallback servers as usable when no other server is: suspect servers, and servers that a
+/// roll-out holds back if no other server works.
+void UseFallbackServers(const ForwarderState& state,
+                        const Forwarding& forwarding,
+                        const std::vector<std::string>& ids,
+                        std::vector<ServerView>& views,
+                        Instant now);
+
+// ---- restarts.cc: servers that restart under the same id ---------------------------------------
+/// Returns true if the record has a later process start time than the known one.
+[[nodiscard]] bool IsNewProcess(const Backend& known, const wire::ServerRecord& record) noexcept;
+/// Resets the state of a restarted server. Precondition: `backend` still has the record of the
+/// earlier process.
+void BeginNewProcess(ForwarderState& state, Backend& backend, const wire::ServerRecord& record);
+/// Sets the process start time of a server's active calls, when it becomes known for the first
+/// time.
+void SetCallStartTimes(ForwarderState& state, const std::string& server, std::int64_t started_ms);
+/// Returns the server of the active call if it hasn't restarted since, otherwise null.
+[[nodiscard]] Backend* FindCalledBackend(ForwarderState& state, const Forwarding& forwarding);
+/// Applies a restart of a server that this instance learns of only from a slot response.
+void HandleRestartInSlot(ForwarderState& state, const SlotResponse& answer);
+/// Ends calls to earlier processes of servers that have received no byte for too long.
 void EndLostCalls(ForwarderState& state, Instant now);
 
 // ---- forwarder.cc ------------------------------------------------------------------------------
-/// \brief When a planned stop ends the process at the latest, a margin kept.
-[[nodiscard]] Instant StopEnd(const ForwarderState& state) noexcept;
-
-// ---- outage.cc: data centres lost or cut off as a whole -----------------------------------------
-/// Tells the instance's own watch whether the server of the call under way was heard.
-void NotePath(ForwarderState& state, const Forwarding& forwarding, bool heard);
-/// Tells it which data centres have servers.
-void WatchServers(ForwarderState& state);
-/// Takes what the broker holds to be lost. Connections that rest there are closed.
-void TakeSuspects(ForwarderState& state, const std::vector<std::string>& suspects);
-/// Takes calls elsewhere that may run again and are silent at a data centre that is held to be
-/// lost.
-void EndSilentCalls(ForwarderState& state, Instant now);
+/// Returns when a planned shutdown ends at the latest: its timeout less a margin.
+[[nodiscard]] Instant ShutdownEnd(const ForwarderState& state) noexcept;
+
+// ---- outage.cc: lost or unreachable data centres -----------------------------------------------
+/// Reports to this instance's outage detector whether the active call's server responded.
+void ReportReachability(ForwarderState& state, const Forwarding& forwarding, bool responded);
+/// Updates the number of servers of each data centre in the outage detector.
+void UpdateWatchedServers(ForwarderState& state);
+/// Sets the data centres that the broker considers lost, and closes idle connections to them.
+void HandleSuspects(ForwarderState& state, const std::vector<std::string>& suspects);
+/// Retries repeatable calls elsewhere if they get no bytes from a data centre that the broker
+/// considers lost.
+void LeaveLostDataCentres(ForwarderState& state, Instant now);
 
+/// Returns the request, or null if it has been erased.
 [[nodiscard]] inline Forwarding* Find(ForwarderState& state, ForwardingRef ref) {
   const auto found = state.m_forwardings.find(ref);
   return found == state.m_forwardings.end() ? nullptr : found->second.get();
--- a/packages/forward/src/without_broker.cc
+++ b/packages/forward/src/without_broker.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What an instance does while no broker answers: it keeps to its part of places and limits.
+// Operation while no broker responds: the instance keeps to its share of slots and limits.
 #include <algorithm>
 
 #include "steps.h"
@@ -12,12 +12,13 @@
   if (!pays)
     return true;
   const std::string& workspace = forwarding.m_workspace->m_name;
-  const auto told = state.m_broker.m_left.find(workspace);
+  const auto reported = state.m_broker.m_limits_left.find(workspace);
   LocalQuotaShare share;
   share.m_instances = state.m_instances.m_recent_max;
-  // A limit that no broker told of was hardly used here: nothing says that it is used up.
-  share.m_limit_left =
-      told == state.m_broker.m_left.end() ? forwarding.m_limit.m_burst : told->second.m_limit_left;
+  // A limit that no broker has reported was hardly used here, and nothing shows that it is used up.
+  share.m_limit_left = reported == state.m_broker.m_limits_left.end()
+                           ? forwarding.m_limit.m_burst
+                           : reported->second.m_limit_left;
   share.m_random = static_cast<double>(state.m_random() >> 11) * 0x1.0p-53;
   share.m_overdrawing = OverdrawingCost(state.m_broker.m_costs);
   LocalQuotaBucket& local_quota = state.m_broker.m_local_quota[workspace];
@@ -41,7 +42,7 @@
   forwarding.m_charged_without_broker = false;
   const auto local_quota = state.m_broker.m_local_quota.find(forwarding.m_workspace->m_name);
   if (local_quota == state.m_broker.m_local_quota.end())
-    return;  // A broker was told of it since; it keeps the charge.
+    return;  // The charge has been reported to a broker, which keeps it.
   local_quota->second.m_tokens += forwarding.m_quota.m_cost;
   local_quota->second.m_spent -= forwarding.m_quota.m_cost;
 }
@@ -49,8 +50,10 @@
 int SlotsWithoutBroker(const ForwarderState& state, const Backend& backend) {
   const int slots = std::max(1, backend.m_record.slots);
   const std::uint64_t turn = MixHash(Hash(state.m_settings.m_instance), Hash(backend.m_record.id));
-  // What was held when the broker was lost is nobody else's; beyond it, an even part.
-  return std::max(backend.m_own_before, EvenShare(slots, state.m_instances.m_recent_max, turn));
+  // No other instance uses the slots that were held when the broker was lost. An even share applies
+  // if it is larger.
+  return std::max(backend.m_in_flight_at_loss,
+                  EvenShare(slots, state.m_instances.m_recent_max, turn));
 }
 
 }  // namespace poppyway::impl
--- a/tests/backend_call_test.cc
+++ b/tests/backend_call_test.cc
@@ -18,7 +18,7 @@
 
 constexpr int kLimitMillis = 3'000;
 
-/// What one call reported.
+/// The reports of one call.
 struct CallReport {
   int m_heads = 0;
   int m_status = 0;
@@ -45,7 +45,7 @@
         return HeadVerdict::kSkip;
     }
     report.m_status = status;
-    return HeadVerdict::kTake;
+    return HeadVerdict::kAccept;
   };
   events.m_on_data = [&](std::string_view bytes) { report.m_data += bytes; };
   events.m_on_complete = [&] { report.m_whole = true; };
@@ -86,20 +86,20 @@
   const std::string sized = "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhello";
   const std::string chunked = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n";
   const std::string unstated = "HTTP/1.1 200 OK\r\n\r\nhello";
-  CHECK(RunScript({Send(sized), CloseNow()}).m_fault == CallFault::kSilentClose);
+  CHECK(RunScript({Send(sized), CloseNow()}).m_fault == CallFault::kClosedEarly);
   CHECK(RunScript({Send(sized), Wait(20), ResetNow()}).m_fault == CallFault::kReset);
-  CHECK(RunScript({Send(chunked), CloseNow()}).m_fault == CallFault::kSilentClose);
+  CHECK(RunScript({Send(chunked), CloseNow()}).m_fault == CallFault::kClosedEarly);
   CHECK(RunScript({Send(chunked), Wait(20), ResetNow()}).m_fault == CallFault::kReset);
   CHECK(RunScript({Send(unstated), Wait(20), ResetNow()}).m_fault == CallFault::kReset);
   CHECK(RunScript({Send("HTTP/1.1 200 OK\r\ncontent-le"), CloseNow()}).m_fault ==
-        CallFault::kSilentClose);
-  CHECK(RunScript({CloseNow()}).m_fault == CallFault::kSilentClose);
+        CallFault::kClosedEarly);
+  CHECK(RunScript({CloseNow()}).m_fault == CallFault::kClosedEarly);
 }
 
 TEST_CASE("bytes that are no answer are told apart") {
-  CHECK(RunScript({Send("what?\r\n\r\n")}).m_fault == CallFault::kNoAnswer);
+  CHECK(RunScript({Send("what?\r\n\r\n")}).m_fault == CallFault::kNotHttp);
   CHECK(RunScript({Send("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n")}).m_fault ==
-        CallFault::kNoAnswer);
+        CallFault::kNotHttp);
 }
 
 TEST_CASE("an interim answer is passed over") {
