--- a/tests/broker_link_test.cc
+++ b/tests/broker_link_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// An instance and the broker of places: asking, being without one, finding one anew.
+// An instance and the slot broker: slot requests, operation without a broker, and reconnecting.
 #include <catch2/catch.hpp>
 
 #include "fake_broker.h"
@@ -76,7 +76,8 @@
   while (ReadClock() - quiet < Duration(500'000))
     fixture.m_loop.RunFor(5);
   CHECK(broker.m_unresponsive_count == 0);
-  // Its late word gives the place back, and it is asked again.
+  // The late response ends the outage: its slot is returned, and the next request goes to the
+  // broker.
   REQUIRE(broker.SlotRequests().size() == 1);
   SendSlotResponse(fixture, broker.SlotRequests()[0].m_ref, SlotVerdict::kPlaced, "s0");
   BackgroundCall call(fixture, Request("/safe/", "j"));
@@ -91,7 +92,7 @@
            !report.m_may_have_run;
   };
   CHECK(std::count_if(reports.begin(), reports.end(), returned) == 1);
-  // No second account of all that is held.
+  // The held slots are not reported a second time.
   const auto resyncs = [](const SlotBatch& batch) { return batch.m_resync; };
   CHECK(std::count_if(broker.m_batches.begin(), broker.m_batches.end(), resyncs) == 1);
 }
--- a/tests/fake_broker.h
+++ b/tests/fake_broker.h
@@ -10,7 +10,7 @@
 
 namespace poppyway {
 
-/// Notes what the forwarder sends; the test answers.
+/// \brief A broker that records what the forwarder sends; the test sends its responses.
 struct FakeBroker {
   std::vector<SlotBatch> m_batches;
   int m_unresponsive_count = 0;
@@ -50,7 +50,7 @@
   }
 };
 
-/// The broker's answer to one place request.
+/// Sends the broker's response to one slot request.
 inline void SendSlotResponse(ForwarderFixture& fixture,
                              SlotRef ref,
                              SlotVerdict verdict,
@@ -62,12 +62,12 @@
   fixture.m_forwarder->HandleMessage(SlotResponses{1, {answer}});
 }
 
-/// A script of a server that answers each request well.
+/// A server script that answers each request with a complete response.
 inline std::vector<ScriptStep> MakeOkResponse(const std::string& request) {
   return MakeResponse(request, "ok");
 }
 
-/// Registers a server that stands in a data centre.
+/// Registers a server of the given data centre.
 inline void RegisterIn(ForwarderFixture& fixture,
                        const std::string& data_centre,
                        const std::string& id,
--- a/tests/forwarder_fixture.h
+++ b/tests/forwarder_fixture.h
@@ -28,7 +28,8 @@
 inline constexpr int kCallerMillis = 3'000;
 inline constexpr int kPortTries = 20;
 
-/// The document of all tests: one route of each kind, a workspace with a key.
+/// Returns the document of all tests, with one route of each kind and a workspace with a key.
+/// `rate` is its limit in tokens per second; zero: none.
 inline std::string Document(int version, const std::string& key, double rate = 0) {
   return R"({"version":)" + std::to_string(version) + R"(,"routes":[
     {"name":"safe","host":"a.example","path_prefix":"/safe/","route_kind":"safe","timeout_ms":1500,
@@ -44,13 +45,14 @@
          std::to_string(rate) + R"(,"burst":)" + std::to_string(rate) + "}]}";
 }
 
-/// The id of the request that a server got.
+/// Returns the id of a request that a server received.
 inline std::string IdOf(const std::string& request) {
   constexpr std::string_view kName = "x-attempt-id: ";
   const std::size_t at = request.find(kName) + kName.size();
   return request.substr(at, request.find("\r\n", at) - at);
 }
 
+/// Returns the head of a valid response to `request`; `more` holds further header lines.
 inline std::string MakeResponseHead(const std::string& request, const std::string& more) {
   return "HTTP/1.1 200 OK\r\nx-attempt-id: " + IdOf(request) + "\r\nx-response-seal: s\r\n" + more +
          "\r\n";
@@ -72,7 +74,7 @@
          "\n\n";
 }
 
-/// A port that nobody listens on right now.
+/// Returns a port that no process listens on at the moment.
 inline std::uint16_t FreePort() {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in where{};
@@ -85,7 +87,7 @@
   return ntohs(where.sin_port);
 }
 
-/// A forwarder on a loop of the test's thread, with servers that are known by the ids s0, s1, ...
+/// \brief A forwarder on an event loop of the test's thread, with a confirmed configuration.
 struct ForwarderFixture {
   EventLoop m_loop;
   ForwarderSettings m_settings;
@@ -96,7 +98,7 @@
     m_settings.m_instance = "edge";
     m_settings.m_retry_limit = {1, 50, 1};
     Result<void> listening;
-    // A free port may be taken by another test's process before we listen on it.
+    // Another test's process may take the free port before the forwarder listens on it.
     for (int i = 0; i < kPortTries; ++i) {
       m_settings.m_caller_endpoint = {"127.0.0.1", FreePort()};
       m_forwarder =
@@ -109,12 +111,14 @@
     Adopt(1, document);
     Confirm(Duration(60'000'000));
   }
+  /// Sends the forwarder a new document.
   void Adopt(int version, const std::string& body) {
     wire::Document document;
     document.version = version;
     document.body = body;
     m_forwarder->HandleMessage(NewDocument{std::make_shared<const wire::Document>(document)});
   }
+  /// Confirms the configuration for `time` from now on.
   void Confirm(Duration time) { m_forwarder->HandleMessage(ConfirmedUntil{ReadClock() + time}); }
   [[nodiscard]] wire::ServerRecord Record(
       const std::string& id,
@@ -135,7 +139,7 @@
                 wire::ServerStage::type stage = wire::ServerStage::READY) {
     m_forwarder->HandleMessage(ServersChanged{{Record(id, server, stage)}});
   }
-  /// Runs the loop until `met`, for a second at most.
+  /// Runs the loop until `met` returns true, for one second at most.
   void RunUntil(const std::function<bool()>& met) {
     const Instant begun = ReadClock();
     while (!met() && ReadClock() - begun < Duration(1'000'000))
@@ -147,7 +151,7 @@
   }
 };
 
-/// What a caller saw: all bytes until the connection ended or an answer was whole.
+/// \brief The bytes that a caller received until its connection ended or a response was complete.
 struct CallResult {
   std::string m_bytes;
   bool m_closed = false;
@@ -162,7 +166,7 @@
   }
 };
 
-/// Lower-cases the names and values of the head; the library writes some names with capitals.
+/// Converts the head to lower case, since the HTTP library writes some field names with capitals.
 inline std::string PlainHead(std::string bytes) {
   const std::size_t end = std::min(bytes.find("\r\n\r\n"), bytes.size());
   std::transform(bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(end), bytes.begin(),
@@ -189,11 +193,12 @@
          "\r\nAuthorization: Bearer key\r\n" + more + "\r\n";
 }
 
-/// A call to the forwarder from another thread, while the test runs the loop on its own.
+/// \brief A call to the forwarder from a background thread, while the test's thread runs the loop.
 class BackgroundCall {
  public:
-  /// \param leave_after_ms the caller closes its connection after this; -1: it waits for the
-  /// answer. \param await_close the caller keeps reading after a whole answer.
+  /// \param leave_after_ms time until the caller closes its connection, in ms; -1: it waits for the
+  /// response for up to `kCallerMillis`.
+  /// \param await_close the caller keeps reading after a complete response.
   BackgroundCall(ForwarderFixture& fixture,
                  std::string request,
                  int leave_after_ms = -1,
@@ -211,9 +216,9 @@
   BackgroundCall(const BackgroundCall&) = delete;
   BackgroundCall& operator=(const BackgroundCall&) = delete;
 
-  /// Closes the connection soon.
+  /// Makes the caller close its connection within 50 ms.
   void Leave() { m_leave.store(true); }
-  /// Runs the loop until the call is over.
+  /// Runs the loop until the call has ended.
   CallResult AwaitResponse(ForwarderFixture& fixture) {
     while (!m_done.load())
       fixture.m_loop.RunFor(5);
@@ -258,7 +263,7 @@
   std::thread m_caller;
 };
 
-/// Calls the forwarder from another thread while its loop runs on this one.
+/// Calls the forwarder and runs its loop until the call has ended; see `BackgroundCall`.
 inline CallResult Call(ForwarderFixture& fixture,
                        const std::string& request,
                        int leave_after_ms = -1,
--- a/tests/forwarder_restarts_test.cc
+++ b/tests/forwarder_restarts_test.cc
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// An instance and backend servers that start again under their id.
+// An instance and backend servers that restart under the same id.
 #include "fake_broker.h"
 #include "forwarder_fixture.h"
 
 namespace poppyway {
 namespace {
 
-constexpr Duration kNewsDelay{1'500'000};  // As in the product, with the next line some time above.
-constexpr Duration kLonger = kNewsDelay + Duration(100'000);
+constexpr Duration kRestartNoticeDelay{1'500'000};  // Same value as in restarts.cc.
+constexpr Duration kLonger = kRestartNoticeDelay + Duration(100'000);
 
-/// Routes that wait for longer than a lost call is kept.
+/// Returns a document whose route timeouts are longer than the time until a lost call is ended.
 std::string PatientDocument() {
   std::string text = Document(1, "key");
   const std::string shorter = "\"timeout_ms\":1500";
@@ -23,10 +23,10 @@
   return {AwaitClose()};
 }
 
-void Live(ForwarderFixture& fixture,
-          const std::string& id,
-          const ScriptedServer& server,
-          std::int64_t started_ms) {
+void RegisterStarted(ForwarderFixture& fixture,
+                     const std::string& id,
+                     const ScriptedServer& server,
+                     std::int64_t started_ms) {
   wire::ServerRecord record = fixture.Record(id, server);
   record.born = started_ms;
   fixture.m_forwarder->HandleMessage(ServersChanged{{record}});
@@ -48,35 +48,35 @@
 }
 
 TEST_CASE("a server that started again at its address or another one gets the work") {
-  ScriptedServer old_place(&MakeOkResponse);
-  ScriptedServer new_place(&MakeOkResponse);
+  ScriptedServer old_server(&MakeOkResponse);
+  ScriptedServer new_server(&MakeOkResponse);
   ForwarderFixture fixture;
-  Live(fixture, "s0", old_place, 5);
+  RegisterStarted(fixture, "s0", old_server, 5);
   CHECK(Call(fixture, Request("/once/", "a")).status() == 200);
-  fixture.Register("s0", old_place, wire::ServerStage::GONE);
+  fixture.Register("s0", old_server, wire::ServerStage::GONE);
   CHECK(Call(fixture, Request("/once/", "b")).status() == 503);
-  Live(fixture, "s0", old_place, 9);
+  RegisterStarted(fixture, "s0", old_server, 9);
   CHECK(Call(fixture, Request("/once/", "c")).status() == 200);
-  CHECK(old_place.requests().size() == 2);
-  Live(fixture, "s0", new_place, 12);
+  CHECK(old_server.requests().size() == 2);
+  RegisterStarted(fixture, "s0", new_server, 12);
   CHECK(Call(fixture, Request("/once/", "d")).status() == 200);
-  CHECK(new_place.requests().size() == 1);
+  CHECK(new_server.requests().size() == 1);
 }
 
 TEST_CASE("late news of an earlier life changes nothing here") {
-  ScriptedServer old_place(&MakeOkResponse);
-  ScriptedServer new_place(&MakeOkResponse);
+  ScriptedServer old_server(&MakeOkResponse);
+  ScriptedServer new_server(&MakeOkResponse);
   ForwarderFixture fixture;
-  Live(fixture, "s0", new_place, 9);
-  wire::ServerRecord late = fixture.Record("s0", old_place, wire::ServerStage::LEAVING);
+  RegisterStarted(fixture, "s0", new_server, 9);
+  wire::ServerRecord late = fixture.Record("s0", old_server, wire::ServerStage::LEAVING);
   late.born = 5;
   fixture.m_forwarder->HandleMessage(ServersChanged{{late}});
   CHECK(Call(fixture, Request("/once/", "a")).status() == 200);
-  CHECK(old_place.requests().empty());
+  CHECK(old_server.requests().empty());
 }
 
 TEST_CASE("a new life at the address of another server takes it over") {
-  ScriptedServer place([](const std::string& request) {
+  ScriptedServer server([](const std::string& request) {
     if (request.find("x-expect-instance: s0") != std::string::npos)
       return MakeResponse(request, "ok");
     return std::vector<ScriptStep>{
@@ -84,13 +84,13 @@
   });
   ScriptedServer away(Silence);
   ForwarderFixture fixture;
-  Live(fixture, "s0", away, 5);
-  Live(fixture, "s1", place, 5);
-  Live(fixture, "s0", place, 9);
+  RegisterStarted(fixture, "s0", away, 5);
+  RegisterStarted(fixture, "s1", server, 5);
+  RegisterStarted(fixture, "s0", server, 9);
   CHECK(BackendOf(fixture, "s1").m_replaced);
   for (int i = 0; i < 4; ++i)
     CHECK(Call(fixture, Request("/once/", "i" + std::to_string(i))).status() == 200);
-  CHECK(place.requests().size() == 4);
+  CHECK(server.requests().size() == 4);
 }
 
 TEST_CASE("calls at an earlier life neither count at the later one nor harm it") {
@@ -101,11 +101,11 @@
     return steps;
   });
   ForwarderFixture fixture;
-  Live(fixture, "s0", server, 5);
+  RegisterStarted(fixture, "s0", server, 5);
   BackgroundCall call(fixture, Request("/once/", "a"));
   AwaitRequests(fixture, server, 1);
   CHECK(BackendOf(fixture, "s0").m_in_flight == 1);
-  Live(fixture, "s0", server, 9);
+  RegisterStarted(fixture, "s0", server, 9);
   CHECK(BackendOf(fixture, "s0").m_in_flight == 0);
   CHECK(BackendOf(fixture, "s0").m_pending_prefill_tokens == 0);
   BackgroundCall next(fixture, Request("/safe/", "b"), 700);
@@ -125,7 +125,7 @@
   fixture.Register("s0", server);
   BackgroundCall call(fixture, Request("/once/", "a"), 400);
   AwaitRequests(fixture, server, 1);
-  Live(fixture, "s0", server, 5);
+  RegisterStarted(fixture, "s0", server, 5);
   CHECK(BackendOf(fixture, "s0").m_in_flight == 1);
   (void)call.AwaitResponse(fixture);
   fixture.RunUntil([&] { return BackendOf(fixture, "s0").m_in_flight == 0; });
@@ -136,13 +136,13 @@
   ScriptedServer silent(Silence);
   ScriptedServer good([](const std::string& request) { return MakeResponse(request, "ok"); });
   ForwarderFixture fixture(PatientDocument());
-  Live(fixture, "s0", silent, 5);
+  RegisterStarted(fixture, "s0", silent, 5);
   BackgroundCall once(fixture, Request("/once/", "a", "X-Deadline-Ms: 8000\r\n"));
   BackgroundCall safe(fixture, Request("/safe/", "b", "X-Deadline-Ms: 8000\r\n"));
   AwaitRequests(fixture, silent, 2);
   RunFor(fixture, kLonger);
   fixture.Register("s1", good);
-  Live(fixture, "s0", silent, 9);
+  RegisterStarted(fixture, "s0", silent, 9);
   const CallResult seen = once.AwaitResponse(fixture);
   CHECK(seen.status() == 502);
   CHECK(seen.m_bytes.find("server_restarted") != std::string::npos);
@@ -160,10 +160,10 @@
     return steps;
   });
   ForwarderFixture fixture(PatientDocument());
-  Live(fixture, "s0", server, 5);
+  RegisterStarted(fixture, "s0", server, 5);
   BackgroundCall call(fixture, Request("/once/", "a", "X-Deadline-Ms: 8000\r\n"));
   AwaitRequests(fixture, server, 1);
-  Live(fixture, "s0", server, 9);
+  RegisterStarted(fixture, "s0", server, 9);
   const CallResult seen = call.AwaitResponse(fixture);
   CHECK(seen.status() == 200);
   CHECK(seen.body() == "late");
@@ -181,22 +181,22 @@
     return steps;
   });
   ForwarderFixture fixture(PatientDocument());
-  Live(fixture, "s0", server, 5);
+  RegisterStarted(fixture, "s0", server, 5);
   BackgroundCall call(fixture, Request("/stream/", "a", "X-Deadline-Ms: 8000\r\n"));
   AwaitRequests(fixture, server, 1);
   RunFor(fixture, kLonger);
-  Live(fixture, "s0", server, 9);
+  RegisterStarted(fixture, "s0", server, 9);
   const CallResult seen = call.AwaitResponse(fixture);
   CHECK(seen.m_bytes.ends_with("0\r\n\r\n"));
   CHECK(seen.m_bytes.find("id: 4") != std::string::npos);
 }
 
 TEST_CASE("a place at a life that this instance has not heard of is used, where that life is") {
-  ScriptedServer old_place(&MakeOkResponse);
-  ScriptedServer new_place(&MakeOkResponse);
+  ScriptedServer old_server(&MakeOkResponse);
+  ScriptedServer new_server(&MakeOkResponse);
   ForwarderFixture fixture;
-  Live(fixture, "s0", old_place, 5);
-  wire::ServerRecord drained = fixture.Record("s0", old_place, wire::ServerStage::LEAVING);
+  RegisterStarted(fixture, "s0", old_server, 5);
+  wire::ServerRecord drained = fixture.Record("s0", old_server, wire::ServerStage::LEAVING);
   drained.born = 5;
   fixture.m_forwarder->HandleMessage(ServersChanged{{drained}});
   FakeBroker broker(fixture);
@@ -207,12 +207,12 @@
   answer.m_server = "s0";
   answer.m_started_ms = 9;
   answer.m_address = "127.0.0.1";
-  answer.m_port = new_place.port();
+  answer.m_port = new_server.port();
   fixture.m_forwarder->HandleMessage(SlotResponses{1, {answer}});
   CHECK(call.AwaitResponse(fixture).status() == 200);
-  CHECK(new_place.requests().size() == 1);
-  CHECK(old_place.requests().empty());
-  // The news that comes later tells nothing new.
+  CHECK(new_server.requests().size() == 1);
+  CHECK(old_server.requests().empty());
+  // The outdated record that arrives later changes nothing.
   fixture.m_forwarder->HandleMessage(ServersChanged{{drained}});
   CHECK_FALSE(BackendOf(fixture, "s0").m_leaving);
 }
@@ -220,17 +220,17 @@
 TEST_CASE("what is held is told to a new broker with the life where it is held") {
   ScriptedServer server(Silence);
   ForwarderFixture fixture;
-  Live(fixture, "s0", server, 5);
+  RegisterStarted(fixture, "s0", server, 5);
   BackgroundCall call(fixture, Request("/once/", "a"), 400);
   AwaitRequests(fixture, server, 1);
-  Live(fixture, "s0", server, 9);
+  RegisterStarted(fixture, "s0", server, 9);
   FakeBroker broker(fixture);
   REQUIRE_FALSE(broker.m_batches.empty());
   REQUIRE(broker.m_batches[0].m_held.size() == 1);
   CHECK(broker.m_batches[0].m_held[0].m_server == "s0");
   CHECK(broker.m_batches[0].m_held[0].m_started_ms == 5);
   (void)call.AwaitResponse(fixture);
-  // The end of the call is told to the broker, which must outlive it.
+  // The end of the call is reported to the broker, which must outlive it.
   fixture.RunUntil([&] { return fixture.m_forwarder->state().m_forwardings.empty(); });
   CHECK(broker.m_batches.back().m_reports.size() == 1);
 }
--- a/tests/forwarder_test.cc
+++ b/tests/forwarder_test.cc
@@ -140,7 +140,7 @@
         Send("HTTP/1.1 421 Other\r\nx-instance-id: a-new\r\ncontent-length: 0\r\n\r\n")};
   });
   ForwarderFixture fixture;
-  // As a whole list comes: by id, the older one last.
+  // A full list is sorted by id, so that the older server comes last.
   wire::ServerRecord newer = fixture.Record("a-new", server);
   newer.index = 9;
   wire::ServerRecord older = fixture.Record("z-old", server);
@@ -161,7 +161,7 @@
   });
   ForwarderFixture fixture;
   fixture.Register("alive", server);
-  fixture.Register("dead", server);  // Its first word comes late.
+  fixture.Register("dead", server);  // Its registration arrives late.
   CHECK(Call(fixture, Request("/once/", "i")).status() == 200);
   CHECK(Call(fixture, Request("/once/", "j")).status() == 200);
   CHECK(server.requests().size() == 3);
@@ -318,7 +318,7 @@
   ForwarderFixture fixture;
   const CallResult seen = Call(fixture, Request("/safe/", "i"));
   CHECK(seen.status() == 503);
-  CHECK(seen.m_elapsed_ms < 150);  // The aim is 400 ms.
+  CHECK(seen.m_elapsed_ms < 150);  // The latency target is 400 ms.
   CHECK(seen.m_bytes.find("retry-after: 0.") != std::string::npos);
   CHECK(fixture.Refusals("no_backend") == 1);
 }
@@ -373,7 +373,7 @@
   fixture.m_forwarder->state().m_shutdown_started = ReadClock() - Duration(6'500'000);
   const CallResult away = Call(fixture, Request("/once/", "j"));
   CHECK(away.status() == 503);
-  // Any other instance can serve it now.
+  // Any other instance can serve the request now.
   CHECK(away.m_bytes.find("retry-after: 0.000\r\n") != std::string::npos);
   CHECK(away.m_bytes.find("connection: close\r\n") != std::string::npos);
   CHECK(server.requests().size() == 1);
--- a/tests/homes_test.cc
+++ b/tests/homes_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Regions that may serve a route or a workspace.
+// Home regions, which restrict where requests of a route or a workspace may be served.
 #include <catch2/catch.hpp>
 
 #include "fake_broker.h"
@@ -10,7 +10,7 @@
 namespace poppyway {
 namespace {
 
-/// The document of all tests with homes, each a JSON list or "null".
+/// Returns the document of all tests with home regions; each argument is a JSON list or "null".
 std::string DocumentWithHomes(int version,
                               const std::string& route,
                               const std::string& workspace = "null") {
@@ -24,7 +24,7 @@
   return text;
 }
 
-/// An instance in the data centre e1 of the region east; w1 lies in the region west.
+/// \brief An instance in data centre e1 of region east; data centre w1 is in region west.
 struct TwoRegions : ForwarderFixture {
   explicit TwoRegions(const std::string& document) : ForwarderFixture(document) {
     ForwarderSettings& settings = m_forwarder->state().m_settings;
@@ -58,15 +58,15 @@
   for (const auto& [route, workspace] : {std::pair<std::string, std::string>{R"(["west"])", "null"},
                                          {"null", R"(["west"])"},
                                          {R"(["east","west"])", R"(["west","south"])"}}) {
-    ScriptedServer near(MakeOkResponse);
-    ScriptedServer far(MakeOkResponse);
+    ScriptedServer east_server(MakeOkResponse);
+    ScriptedServer west_server(MakeOkResponse);
     TwoRegions fixture(DocumentWithHomes(1, route, workspace));
-    RegisterIn(fixture, "e1", "s0", near);
-    RegisterIn(fixture, "w1", "s1", far);
+    RegisterIn(fixture, "e1", "s0", east_server);
+    RegisterIn(fixture, "w1", "s1", west_server);
     for (int i = 0; i < 6; ++i)
       CHECK(Call(fixture, Request("/once/", "i" + std::to_string(i))).status() == 200);
-    CHECK(near.requests().empty());
-    CHECK(far.requests().size() == 6);
+    CHECK(east_server.requests().empty());
+    CHECK(west_server.requests().size() == 6);
   }
 }
 
@@ -81,24 +81,24 @@
 }
 
 TEST_CASE("what route and workspace share no home for is refused at once and runs nowhere") {
-  ScriptedServer near(MakeOkResponse);
-  ScriptedServer far(MakeOkResponse);
+  ScriptedServer east_server(MakeOkResponse);
+  ScriptedServer west_server(MakeOkResponse);
   TwoRegions fixture(DocumentWithHomes(1, R"(["east"])", R"(["west"])"));
-  RegisterIn(fixture, "e1", "s0", near);
-  RegisterIn(fixture, "w1", "s1", far);
+  RegisterIn(fixture, "e1", "s0", east_server);
+  RegisterIn(fixture, "w1", "s1", west_server);
   const CallResult seen = Call(fixture, Request("/once/", "i"));
   CHECK(seen.status() == 503);
   CHECK(seen.body().starts_with("no_home"));
   CHECK(seen.m_elapsed_ms < 80);
   CHECK(fixture.Refusals("no_home") == 1);
-  CHECK(near.requests().empty());
-  CHECK(far.requests().empty());
+  CHECK(east_server.requests().empty());
+  CHECK(west_server.requests().empty());
 }
 
 TEST_CASE("without a server at home a request is refused at once, alone and by the broker") {
-  ScriptedServer near(MakeOkResponse);
+  ScriptedServer east_server(MakeOkResponse);
   TwoRegions fixture(DocumentWithHomes(1, R"(["west"])"));
-  RegisterIn(fixture, "e1", "s0", near);
+  RegisterIn(fixture, "e1", "s0", east_server);
   const CallResult seen = Call(fixture, Request("/safe/", "i"));
   CHECK(seen.status() == 503);
   CHECK(seen.body().starts_with("no_backend"));
@@ -110,21 +110,21 @@
   CHECK(broker.SlotRequests()[0].m_home_regions == HomeRegions{true, {"west"}});
   SendSlotResponse(fixture, broker.SlotRequests()[0].m_ref, SlotVerdict::kNoServer);
   CHECK(call.AwaitResponse(fixture).body().starts_with("no_backend"));
-  CHECK(near.requests().empty());
+  CHECK(east_server.requests().empty());
 }
 
 TEST_CASE("another try of a request stays at home, and ends where home has no other server") {
-  ScriptedServer near(MakeOkResponse);
+  ScriptedServer east_server(MakeOkResponse);
   ScriptedServer bad([](const std::string&) { return std::vector<ScriptStep>{CloseNow()}; });
   ScriptedServer good(MakeOkResponse);
   TwoRegions fixture(DocumentWithHomes(1, R"(["west"])"));
-  RegisterIn(fixture, "e1", "s0", near);
+  RegisterIn(fixture, "e1", "s0", east_server);
   RegisterIn(fixture, "w1", "s1", bad);
   CHECK(Call(fixture, Request("/safe/", "i")).status() == 502);
   RegisterIn(fixture, "w1", "s2", good);
   for (int i = 0; i < 6; ++i)
     CHECK(Call(fixture, Request("/safe/", "i" + std::to_string(i))).status() == 200);
-  CHECK(near.requests().empty());
+  CHECK(east_server.requests().empty());
 }
 
 TEST_CASE("a stream goes on by homes of the document in force, not only of its arrival") {
@@ -144,7 +144,7 @@
   RegisterIn(fixture, "w1", "s0", first);
   BackgroundCall call(fixture, Request("/stream/", "i"));
   fixture.RunUntil([&] { return first.requests().size() == 1; });
-  // While the stream runs: its homes become wider than at its arrival, which still holds.
+  // The home regions are widened while the stream runs; the ones at its arrival still apply.
   fixture.Adopt(2, DocumentWithHomes(2, R"(["west","east"])"));
   RegisterIn(fixture, "e1", "s1", out_of_home);
   RegisterIn(fixture, "w1", "s2", at_home);
@@ -177,11 +177,11 @@
 }
 
 TEST_CASE("what waits at the broker is asked for anew when its homes change") {
-  ScriptedServer near(MakeOkResponse);
-  ScriptedServer far(MakeOkResponse);
+  ScriptedServer east_server(MakeOkResponse);
+  ScriptedServer west_server(MakeOkResponse);
   TwoRegions fixture(Document(1, "key"));
-  RegisterIn(fixture, "e1", "s0", near);
-  RegisterIn(fixture, "w1", "s1", far);
+  RegisterIn(fixture, "e1", "s0", east_server);
+  RegisterIn(fixture, "w1", "s1", west_server);
   FakeBroker broker(fixture);
   BackgroundCall call(fixture, Request("/once/", "i"));
   fixture.RunUntil([&] { return !broker.SlotRequests().empty(); });
@@ -191,36 +191,36 @@
   CHECK(broker.Withdrawn() == std::vector<SlotRef>{broker.SlotRequests()[0].m_ref});
   REQUIRE(broker.SlotRequests().size() == 2);
   CHECK(broker.SlotRequests()[1].m_home_regions == HomeRegions{true, {"west"}});
-  // A place from before the change crosses the word of it: it goes back unused.
+  // A slot for the cancelled request is returned unused.
   SendSlotResponse(fixture, broker.SlotRequests()[0].m_ref, SlotVerdict::kPlaced, "s0");
   REQUIRE(broker.Reports().size() == 1);
   CHECK(broker.Reports()[0].m_ended);
   CHECK_FALSE(broker.Reports()[0].m_may_have_run);
   SendSlotResponse(fixture, broker.SlotRequests()[1].m_ref, SlotVerdict::kPlaced, "s1");
   CHECK(call.AwaitResponse(fixture).status() == 200);
-  CHECK(near.requests().empty());
-  CHECK(far.requests().size() == 1);
+  CHECK(east_server.requests().empty());
+  CHECK(west_server.requests().size() == 1);
 }
 
 TEST_CASE("what waits is refused at once when a change leaves it no home") {
-  ScriptedServer near(MakeOkResponse);
+  ScriptedServer east_server(MakeOkResponse);
   TwoRegions fixture(DocumentWithHomes(1, R"(["east"])"));
-  RegisterIn(fixture, "e1", "s0", near);
+  RegisterIn(fixture, "e1", "s0", east_server);
   FakeBroker broker(fixture);
   BackgroundCall call(fixture, Request("/once/", "i"));
   fixture.RunUntil([&] { return !broker.SlotRequests().empty(); });
   fixture.Adopt(2, DocumentWithHomes(2, R"(["west"])"));
   CHECK(call.AwaitResponse(fixture).body().starts_with("no_home"));
-  CHECK(near.requests().empty());
+  CHECK(east_server.requests().empty());
 }
 
 TEST_CASE("a request waits at an instance alone by its new homes") {
-  ScriptedServer near(MakeOkResponse);
-  ScriptedServer far(MakeOkResponse);
+  ScriptedServer east_server(MakeOkResponse);
+  ScriptedServer west_server(MakeOkResponse);
   TwoRegions fixture(DocumentWithHomes(1, R"(["east","west"])"));
-  RegisterIn(fixture, "e1", "s0", near);
-  RegisterIn(fixture, "w1", "s1", far);
-  // Nobody has room until the homes have changed.
+  RegisterIn(fixture, "e1", "s0", east_server);
+  RegisterIn(fixture, "w1", "s1", west_server);
+  // No server has a free slot until the home regions have changed.
   for (auto& [id, backend] : fixture.m_forwarder->state().m_backends)
     backend.m_in_flight = 1000;
   BackgroundCall call(fixture, Request("/once/", "i"));
@@ -232,16 +232,16 @@
     backend.m_in_flight = 0;
   fixture.Adopt(2, DocumentWithHomes(2, R"(["west"])"));
   CHECK(call.AwaitResponse(fixture).status() == 200);
-  CHECK(near.requests().empty());
-  CHECK(far.requests().size() == 1);
+  CHECK(east_server.requests().empty());
+  CHECK(west_server.requests().size() == 1);
 }
 
 TEST_CASE("a place that a broker gives outside the homes goes back unused") {
-  ScriptedServer near(MakeOkResponse);
-  ScriptedServer far(MakeOkResponse);
+  ScriptedServer east_server(MakeOkResponse);
+  ScriptedServer west_server(MakeOkResponse);
   TwoRegions fixture(DocumentWithHomes(1, R"(["west"])"));
-  RegisterIn(fixture, "e1", "s0", near);
-  RegisterIn(fixture, "w1", "s1", far);
+  RegisterIn(fixture, "e1", "s0", east_server);
+  RegisterIn(fixture, "w1", "s1", west_server);
   FakeBroker broker(fixture);
   BackgroundCall call(fixture, Request("/once/", "i"));
   fixture.RunUntil([&] { return !broker.SlotRequests().empty(); });
@@ -250,21 +250,21 @@
   REQUIRE(broker.SlotRequests().size() == 2);
   SendSlotResponse(fixture, broker.SlotRequests()[1].m_ref, SlotVerdict::kPlaced, "s1");
   CHECK(call.AwaitResponse(fixture).status() == 200);
-  CHECK(near.requests().empty());
-  CHECK(far.requests().size() == 1);
+  CHECK(east_server.requests().empty());
+  CHECK(west_server.requests().size() == 1);
 }
 
 TEST_CASE("a connection that comes up after the homes changed carries nothing") {
-  ScriptedServer near(MakeOkResponse);
-  ScriptedServer far(MakeOkResponse);
+  ScriptedServer east_server(MakeOkResponse);
+  ScriptedServer west_server(MakeOkResponse);
   TwoRegions fixture(Document(1, "key"));
-  RegisterIn(fixture, "e1", "s0", near);
-  RegisterIn(fixture, "w1", "s1", far);
+  RegisterIn(fixture, "e1", "s0", east_server);
+  RegisterIn(fixture, "w1", "s1", west_server);
   FakeBroker broker(fixture);
   BackgroundCall call(fixture, Request("/once/", "i"));
   fixture.RunUntil([&] { return !broker.SlotRequests().empty(); });
   REQUIRE(broker.SlotRequests().size() == 1);
-  // The connection to s0 is begun here and comes up when the loop runs next.
+  // The connection attempt to s0 begins here and completes when the loop runs next.
   SendSlotResponse(fixture, broker.SlotRequests()[0].m_ref, SlotVerdict::kPlaced, "s0");
   fixture.Adopt(2, DocumentWithHomes(2, R"(["west"])"));
   fixture.RunUntil([&] { return broker.SlotRequests().size() == 2; });
@@ -272,10 +272,10 @@
   CHECK(broker.SlotRequests()[1].m_home_regions == HomeRegions{true, {"west"}});
   SendSlotResponse(fixture, broker.SlotRequests()[1].m_ref, SlotVerdict::kPlaced, "s1");
   CHECK(call.AwaitResponse(fixture).status() == 200);
-  CHECK(near.requests().empty());
+  CHECK(east_server.requests().empty());
 }
 
-// ---- At the broker -----------------------------------------------------------------------------
+// ---- Home regions at the broker ----------------------------------------------------------------
 
 BackendServer ServerAt(const std::string& id, const std::string& data_centre) {
   BackendServer server = Engine(id, data_centre);
--- a/tests/outage_forward_test.cc
+++ b/tests/outage_forward_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What an instance does when the broker holds a data centre to be lost, and when it finds one so.
+// An instance and lost data centres that the broker reports or that it detects itself.
 #include <catch2/catch.hpp>
 
 #include "forwarder_fixture.h"
@@ -8,10 +8,10 @@
 namespace poppyway {
 namespace {
 
-struct AskedBroker {
+struct RecordingBroker {
   std::vector<SlotRequest> m_slot_requests;
 
-  explicit AskedBroker(ForwarderFixture& fixture) {
+  explicit RecordingBroker(ForwarderFixture& fixture) {
     fixture.m_forwarder->SetBrokerPort({[this](const SlotBatch& batch) {
                                           m_slot_requests.insert(m_slot_requests.end(),
                                                                  batch.m_slot_requests.begin(),
@@ -32,7 +32,7 @@
   fixture.m_forwarder->HandleMessage(ServersChanged{{record}});
 }
 
-void Place(ForwarderFixture& fixture, SlotRef ref, const std::string& server) {
+void SendPlacement(ForwarderFixture& fixture, SlotRef ref, const std::string& server) {
   SlotResponse answer;
   answer.m_ref = ref;
   answer.m_verdict = SlotVerdict::kPlaced;
@@ -40,7 +40,7 @@
   fixture.m_forwarder->HandleMessage(SlotResponses{1, {answer}});
 }
 
-void TellSuspects(ForwarderFixture& fixture, const std::vector<std::string>& suspects) {
+void SendSuspects(ForwarderFixture& fixture, const std::vector<std::string>& suspects) {
   fixture.m_forwarder->HandleMessage(SlotResponses{1, {}, suspects});
 }
 
@@ -60,21 +60,21 @@
   ForwarderFixture fixture;
   RegisterIn(fixture, "east", "s0", silent);
   RegisterIn(fixture, "west", "s1", other);
-  AskedBroker broker(fixture);
+  RecordingBroker broker(fixture);
   BackgroundCall call(fixture, Request("/safe/", "i"));
   fixture.RunUntil([&] { return !broker.m_slot_requests.empty(); });
   REQUIRE(broker.m_slot_requests.size() == 1);
-  Place(fixture, broker.m_slot_requests[0].m_ref, "s0");
+  SendPlacement(fixture, broker.m_slot_requests[0].m_ref, "s0");
   fixture.RunUntil([&] { return !silent.requests().empty(); });
-  TellSuspects(fixture, {"east"});
+  SendSuspects(fixture, {"east"});
   RunFor(fixture, Duration(150'000));
-  CHECK(broker.m_slot_requests.size() == 1);  // It may still answer: it isn't silent for long.
+  CHECK(broker.m_slot_requests.size() == 1);  // The silence is still shorter than the limit.
   fixture.RunUntil([&] { return broker.m_slot_requests.size() == 2; });
   REQUIRE(broker.m_slot_requests.size() == 2);
   CHECK(broker.m_slot_requests[1].m_tried == std::vector<std::string>{"s0"});
   fixture.RunUntil([&] { return silent.peer_closes() == 1; });
-  CHECK(silent.peer_closes() == 1);  // Before it runs elsewhere.
-  Place(fixture, broker.m_slot_requests[1].m_ref, "s1");
+  CHECK(silent.peer_closes() == 1);  // The call is closed before the retry runs.
+  SendPlacement(fixture, broker.m_slot_requests[1].m_ref, "s1");
   CHECK(call.AwaitResponse(fixture).body() == "other");
 }
 
@@ -82,13 +82,13 @@
   ScriptedServer silent(Silence);
   ForwarderFixture fixture;
   RegisterIn(fixture, "east", "s0", silent);
-  AskedBroker broker(fixture);
+  RecordingBroker broker(fixture);
   BackgroundCall call(fixture, Request("/once/", "i"));
   fixture.RunUntil([&] { return !broker.m_slot_requests.empty(); });
   REQUIRE(broker.m_slot_requests.size() == 1);
-  Place(fixture, broker.m_slot_requests[0].m_ref, "s0");
+  SendPlacement(fixture, broker.m_slot_requests[0].m_ref, "s0");
   fixture.RunUntil([&] { return !silent.requests().empty(); });
-  TellSuspects(fixture, {"east"});
+  SendSuspects(fixture, {"east"});
   RunFor(fixture, Duration(600'000));
   CHECK(silent.peer_closes() == 0);
   CHECK(broker.m_slot_requests.size() == 1);
@@ -108,12 +108,12 @@
   });
   ForwarderFixture fixture;
   RegisterIn(fixture, "east", "s0", flowing);
-  AskedBroker broker(fixture);
+  RecordingBroker broker(fixture);
   BackgroundCall call(fixture, Request("/stream/", "i"));
   fixture.RunUntil([&] { return !broker.m_slot_requests.empty(); });
   REQUIRE(broker.m_slot_requests.size() == 1);
-  Place(fixture, broker.m_slot_requests[0].m_ref, "s0");
-  TellSuspects(fixture, {"east"});
+  SendPlacement(fixture, broker.m_slot_requests[0].m_ref, "s0");
+  SendSuspects(fixture, {"east"});
   const CallResult seen = call.AwaitResponse(fixture);
   CHECK(seen.m_bytes.ends_with("0\r\n\r\n"));
   CHECK(broker.m_slot_requests.size() == 1);
@@ -127,18 +127,18 @@
   ForwarderFixture fixture;
   RegisterIn(fixture, "east", "s0", east);
   RegisterIn(fixture, "west", "s1", west);
-  AskedBroker broker(fixture);
+  RecordingBroker broker(fixture);
   const auto call = [&](const std::string& server) {
     const std::size_t before = broker.m_slot_requests.size();
     BackgroundCall one(fixture, Request("/safe/", server + std::to_string(before)));
     fixture.RunUntil([&] { return broker.m_slot_requests.size() > before; });
     REQUIRE(broker.m_slot_requests.size() == before + 1);
-    Place(fixture, broker.m_slot_requests.back().m_ref, server);
+    SendPlacement(fixture, broker.m_slot_requests.back().m_ref, server);
     CHECK(one.AwaitResponse(fixture).status() == 200);
   };
   call("s0");
   call("s1");
-  TellSuspects(fixture, {"east"});
+  SendSuspects(fixture, {"east"});
   call("s0");
   call("s1");
   CHECK(east.connections() == 2);
@@ -153,7 +153,7 @@
   std::vector<wire::ServerRecord> records;
   for (int i = 0; i < 12; ++i) {
     wire::ServerRecord record = fixture.Record("e" + std::to_string(i), west);
-    record.port = FreePort();  // Nobody listens.
+    record.port = FreePort();  // No process listens there.
     record.data_centre = "east";
     records.push_back(record);
   }
