--- a/packages/forward/include/poppyway/forward/impl/forwarder.h
+++ b/packages/forward/include/poppyway/forward/impl/forwarder.h
@@ -157,9 +157,9 @@
 
   EventLoop& m_loop;
   ForwarderState m_state;
-  std::unique_ptr<HttpServer> m_callers;
-  std::unique_ptr<HttpServer> m_readiness;
-  std::unique_ptr<HttpServer> m_metrics;
+  std::unique_ptr<HttpServer> m_caller_server;
+  std::unique_ptr<HttpServer> m_readiness_server;
+  std::unique_ptr<HttpServer> m_metrics_server;
   std::unique_ptr<RepeatingTimer> m_tick;
   std::function<void(MetricSet&)> m_extra_metrics;
 };
--- a/packages/forward/src/backends.cc
+++ b/packages/forward/src/backends.cc
@@ -261,17 +261,19 @@
       .Field("for_ms", (backend->m_health.m_ejected_until - now).count() / 1000);
 }
 
-void RecordReplacement(ForwarderState& state, const std::string& meant, const std::string& found) {
-  if (Backend* backend = FindBackend(state, meant))
+void RecordReplacement(ForwarderState& state,
+                       const std::string& expected,
+                       const std::string& responding) {
+  if (Backend* backend = FindBackend(state, expected))
     backend->m_replaced = true;
-  Backend* other = FindBackend(state, found);
+  Backend* other = FindBackend(state, responding);
   // The registration of a gone server may arrive late and mark its successor as replaced.
   const bool restored = other != nullptr && other->m_replaced;
   if (restored)
     other->m_replaced = false;
   POPPYWAY_LOG(info, "server_replaced")
-      .Field("server", meant)
-      .Field("by", found)
+      .Field("server", expected)
+      .Field("by", responding)
       .Field("restored", restored);
 }
 
--- a/packages/forward/src/eligibility.cc
+++ b/packages/forward/src/eligibility.cc
@@ -23,15 +23,15 @@
   return inputs;
 }
 
-/// Returns the reason against a server. `kept`: whether a roll-out holds the server back.
+/// Returns the reason against a server. `held_back`: whether a roll-out holds the server back.
 IneligibleReason EligibilityIf(const ForwarderState& state,
                                const Forwarding& forwarding,
                                const Backend& backend,
-                               bool kept,
+                               bool held_back,
                                Instant now) {
   EligibilityInputs inputs = BaseInputs(state, backend, now);
   inputs.m_leaving = backend.m_leaving || backend.m_replaced;
-  inputs.m_kept_by_rollout = kept;
+  inputs.m_kept_by_rollout = held_back;
   inputs.m_cold_full = IsCold(backend.m_slow_start, now) &&
                        !MaySendWithoutBroker(backend.m_slow_start,
                                              SlowStartLimitOf(state, backend.m_record.pool), now);
@@ -87,8 +87,8 @@
   });
   for (std::size_t i = 0; i < ids.size(); ++i) {
     const Backend& backend = state.m_backends.at(ids[i]);
-    const bool kept = backend.m_record.held_back && any_works;
-    const IneligibleReason reason = EligibilityIf(state, forwarding, backend, kept, now);
+    const bool held_back = backend.m_record.held_back && any_works;
+    const IneligibleReason reason = EligibilityIf(state, forwarding, backend, held_back, now);
     views[i].m_usable = reason == IneligibleReason::kNone || reason == IneligibleReason::kSuspect;
   }
 }
--- a/packages/forward/src/forwarder.cc
+++ b/packages/forward/src/forwarder.cc
@@ -22,14 +22,14 @@
 
 /// An object in the request's memory pool whose destructor callback reports that the library
 /// disposes of the request.
-struct Anchor {
+struct DisposalHook {
   ForwarderState* m_state;
   ForwardingRef m_ref;
 };
 
-void OnAnchorDisposed(void* data) {
-  auto* anchor = static_cast<Anchor*>(data);
-  impl::OnDisposed(*anchor->m_state, anchor->m_ref);
+void OnHookDisposed(void* data) {
+  auto* hook = static_cast<DisposalHook*>(data);
+  impl::OnDisposed(*hook->m_state, hook->m_ref);
 }
 
 void ReadRequest(const ForwarderState& state, Forwarding& forwarding, const h2o_req_t* req) {
@@ -98,7 +98,7 @@
   return state.m_table != nullptr && !state.m_stopping && now < state.m_confirmed_until;
 }
 
-struct Visitor {
+struct MessageHandler {
   ForwarderState& m_state;
 
   void operator()(const NewDocument& message) const {
@@ -162,11 +162,11 @@
   m_state.m_random.seed(Hash(settings.m_instance) ^
                         static_cast<std::uint64_t>(ReadClock().time_since_epoch().count()));
   m_state.m_connections = std::make_unique<BackendPool>(loop);
-  m_callers = std::make_unique<HttpServer>(loop, HttpLimits{kMaxBody, kCallerIdleMillis},
-                                           [this](h2o_req_t* req) { OnRequest(req); });
-  m_readiness = std::make_unique<HttpServer>(loop, HttpLimits{},
-                                             [this](h2o_req_t* req) { OnReadiness(req); });
-  m_metrics =
+  m_caller_server = std::make_unique<HttpServer>(loop, HttpLimits{kMaxBody, kCallerIdleMillis},
+                                                 [this](h2o_req_t* req) { OnRequest(req); });
+  m_readiness_server = std::make_unique<HttpServer>(loop, HttpLimits{},
+                                                    [this](h2o_req_t* req) { OnReadiness(req); });
+  m_metrics_server =
       std::make_unique<HttpServer>(loop, HttpLimits{}, [this](h2o_req_t* req) { OnMetrics(req); });
   m_tick = std::make_unique<RepeatingTimer>(loop, kBusyTickMillis, kIdleTickMillis,
                                             [this] { return Tick(); });
@@ -181,9 +181,9 @@
 Result<void> Forwarder::Listen() {
   const ForwarderSettings& settings = m_state.m_settings;
   const std::pair<HttpServer*, const Endpoint*> listeners[] = {
-      {m_callers.get(), &settings.m_caller_endpoint},
-      {m_readiness.get(), &settings.m_readiness_endpoint},
-      {m_metrics.get(), &settings.m_metrics_endpoint}};
+      {m_caller_server.get(), &settings.m_caller_endpoint},
+      {m_readiness_server.get(), &settings.m_readiness_endpoint},
+      {m_metrics_server.get(), &settings.m_metrics_endpoint}};
   for (const auto& [server, endpoint] : listeners) {
     if (endpoint->m_port == 0)
       continue;
@@ -194,7 +194,7 @@
 }
 
 void Forwarder::HandleMessage(ForwarderMessage message) {
-  std::visit(Visitor{m_state}, message);
+  std::visit(MessageHandler{m_state}, message);
 }
 
 void Forwarder::BeginShutdown() {
@@ -223,9 +223,9 @@
   forwarding.m_deadline = forwarding.m_arrived;
   forwarding.m_caller.m_req = req;
   ReadRequest(m_state, forwarding, req);
-  auto* anchor =
-      static_cast<Anchor*>(h2o_mem_alloc_shared(&req->pool, sizeof(Anchor), &OnAnchorDisposed));
-  *anchor = {&m_state, ref};
+  auto* hook = static_cast<DisposalHook*>(
+      h2o_mem_alloc_shared(&req->pool, sizeof(DisposalHook), &OnHookDisposed));
+  *hook = {&m_state, ref};
   if (impl::IsUnconfigured(m_state))
     impl::HoldUntilConfigured(m_state, forwarding);
   else
--- a/packages/forward/src/relay.cc
+++ b/packages/forward/src/relay.cc
@@ -59,7 +59,7 @@
 }
 
 /// Handles a response by which the server has certainly not run the request.
-void OnNotRun(ForwarderState& state, Forwarding& forwarding, std::string_view why) {
+void OnRejected(ForwarderState& state, Forwarding& forwarding, std::string_view why) {
   --forwarding.m_possible_runs;
   forwarding.m_sent = false;
   if (MayRetry(state, forwarding)) {
@@ -121,7 +121,7 @@
   ServeQueue(state, pool);
 }
 
-bool IsEventAnswer(const Forwarding& forwarding) {
+bool IsEventResponse(const Forwarding& forwarding) {
   return forwarding.m_route->m_stream && IsSuccess(forwarding.m_response.m_status);
 }
 
@@ -190,12 +190,12 @@
   if (answer.m_other_server) {
     RecordReplacement(state, forwarding->m_server, *answer.m_other_server);
     forwarding->m_report.m_health_signal = HealthSignal::kUnreachable;
-    OnNotRun(state, *forwarding, "another_server_answered");
+    OnRejected(state, *forwarding, "another_server_answered");
     return HeadVerdict::kAccept;
   }
   if (answer.m_not_run) {
     RecordHealth(state, *forwarding, HealthSignal::kFailure);
-    OnNotRun(state, *forwarding, "server_declined");
+    OnRejected(state, *forwarding, "server_declined");
     return HeadVerdict::kAccept;
   }
   const bool unverified = IsSuccess(status) && (!answer.m_signed || !answer.m_id);
@@ -231,7 +231,7 @@
       forwarding->m_stage == ForwardingStage::kDone)
     return;
   RecordByte(state, *forwarding);
-  if (IsEventAnswer(*forwarding)) {
+  if (IsEventResponse(*forwarding)) {
     OnEvents(state, *forwarding, bytes);
   } else if (forwarding->m_caller.m_started) {
     SendChunk(forwarding->m_caller, bytes, false);
@@ -251,7 +251,8 @@
   Forwarding* forwarding = Find(state, ref);
   if (forwarding == nullptr || forwarding->m_stage == ForwardingStage::kDone)
     return;
-  const bool partial_event = IsEventAnswer(*forwarding) && !forwarding->m_events.m_partial.empty();
+  const bool partial_event =
+      IsEventResponse(*forwarding) && !forwarding->m_events.m_partial.empty();
   if (partial_event) {
     RecordHealth(state, *forwarding, HealthSignal::kFailure);
     OnIncompleteResponse(state, *forwarding, "ended_within_an_event");
--- a/packages/forward/src/steps.h
+++ b/packages/forward/src/steps.h
@@ -194,8 +194,10 @@
                        Duration connect);
 /// Records a health signal of the active call's server, locally and for the broker's report.
 void RecordHealth(ForwarderState& state, Forwarding& forwarding, HealthSignal signal);
-/// Marks the server `meant` as replaced, since the server `found` answered at its address.
-void RecordReplacement(ForwarderState& state, const std::string& meant, const std::string& found);
+/// Marks the server `expected` as replaced, since the server `responding` answered at its address.
+void RecordReplacement(ForwarderState& state,
+                       const std::string& expected,
+                       const std::string& responding);
 
 // ---- evacuation.cc -----------------------------------------------------------------------------
 /// Applies new evacuations and ends of evacuations; known ones are ignored.
@@ -246,7 +248,7 @@
 [[nodiscard]] Backend* FindCalledBackend(ForwarderState& state, const Forwarding& forwarding);
 /// Applies a restart of a server that this instance learns of only from a slot response.
 void HandleRestartInSlot(ForwarderState& state, const SlotResponse& answer);
-/// Ends calls to earlier processes of servers that have received no byte for too long.
+/// Ends calls to earlier processes of restarted servers if no byte has arrived for too long.
 void EndLostCalls(ForwarderState& state, Instant now);
 
 // ---- forwarder.cc ------------------------------------------------------------------------------
