--- a/packages/forward/src/broker_link.cc
+++ b/packages/forward/src/broker_link.cc
@@ -123,7 +123,7 @@
   if (answer.m_verdict == SlotVerdict::kOverLimit)
     LogOverLimit(forwarding, answer);
   if (forwarding.m_possible_runs > 0) {
-    Refuse(state, forwarding, ResultCode::kOutcomeUnknown, "no other server had a free slot");
+    Refuse(state, forwarding, ResultCode::kOutcomeUnknown, "no other server had room");
     return;
   }
   switch (answer.m_verdict) {
@@ -136,7 +136,7 @@
                                                     : "the pool has no server");
       return;
     default:
-      Refuse(state, forwarding, ResultCode::kOverload, "no server had a free slot in time");
+      Refuse(state, forwarding, ResultCode::kOverload, "no server had room in time");
   }
 }
 
--- a/packages/forward/src/chain.cc
+++ b/packages/forward/src/chain.cc
@@ -53,7 +53,7 @@
     return Step::kContinue;
   if (forwarding.m_deadline < ShutdownEnd(state))
     return Step::kContinue;
-  Refuse(state, forwarding, ResultCode::kStopping, "the instance is shutting down");
+  Refuse(state, forwarding, ResultCode::kStopping, "the instance stops");
   return Step::kEnded;
 }
 
@@ -80,13 +80,12 @@
   if (forwarding.m_route->m_anonymous || table.m_workspaces.empty())
     return Step::kContinue;
   if (forwarding.m_arrived >= state.m_confirmed_until) {
-    Refuse(state, forwarding, ResultCode::kNotConfirmed,
-           "API keys can't be verified without a leader");
+    Refuse(state, forwarding, ResultCode::kNotConfirmed, "keys can't be relied on without contact");
     return Step::kEnded;
   }
   forwarding.m_workspace = FindWorkspace(table, forwarding.m_request.m_key);
   if (forwarding.m_workspace == nullptr) {
-    Refuse(state, forwarding, ResultCode::kUnknownKey, "no workspace has this API key");
+    Refuse(state, forwarding, ResultCode::kUnknownKey, "no workspace holds the key");
     return Step::kEnded;
   }
   forwarding.m_tier = forwarding.m_workspace->m_tier.value_or(forwarding.m_route->m_tier);
--- a/packages/forward/src/queue.cc
+++ b/packages/forward/src/queue.cc
@@ -117,10 +117,10 @@
     forwarding->m_estimated_wait =
         RemainingBackOff(state, *forwarding, now).value_or(forwarding->m_estimated_wait);
     if (forwarding->m_possible_runs > 0)
-      Refuse(state, *forwarding, ResultCode::kOutcomeUnknown, "no other server had a free slot");
+      Refuse(state, *forwarding, ResultCode::kOutcomeUnknown, "no other server had room");
     else
       Refuse(state, *forwarding, any ? ResultCode::kOverload : ResultCode::kNoBackend,
-             "no server had a free slot in time");
+             "no server had room in time");
   }
 }
 
--- a/packages/forward/src/start.cc
+++ b/packages/forward/src/start.cc
@@ -62,7 +62,7 @@
       kept.push_back(ref);
       continue;
     }
-    Refuse(state, *forwarding, ResultCode::kNotReady, "no configuration was received in time");
+    Refuse(state, *forwarding, ResultCode::kNotReady, "no configuration became known in time");
   }
   state.m_held_requests = std::move(kept);
 }
