--- a/apps/poppywayd/broker_service.cc
+++ b/apps/poppywayd/broker_service.cc
@@ -65,7 +65,7 @@
   BrokerSettings settings;
   settings.m_lease = std::chrono::milliseconds(m_settings.m_lease_ms);
   settings.m_lease_margin = settings.m_lease / 5;
-  Hosted hosted;
+  HostedBroker hosted;
   hosted.m_broker = MakeBroker(settings, lease.epoch, now);
   hosted.m_broker.m_live_gateways = live_gateways;
   hosted.m_valid_until = valid_until;
@@ -82,38 +82,38 @@
 void BrokerService::OnDemand(const wire::Demand& demand, PeerConnection& from) {
   const Instant now = ReadClock();
   const auto found = m_brokers.find(demand.pool);
-  const bool ours = found != m_brokers.end() && now < found->second.m_valid_until &&
-                    found->second.m_broker.m_epoch == demand.epoch;
-  if (!ours) {
-    wire::Grants refusal;
-    refusal.pool = demand.pool;
-    refusal.epoch = demand.epoch;
-    refusal.sequence = demand.sequence;
-    refusal.not_broker = true;
+  const bool has_lease = found != m_brokers.end() && now < found->second.m_valid_until &&
+                         found->second.m_broker.m_epoch == demand.epoch;
+  if (!has_lease) {
+    wire::Grants rejection;
+    rejection.pool = demand.pool;
+    rejection.epoch = demand.epoch;
+    rejection.sequence = demand.sequence;
+    rejection.not_broker = true;
     wire::Envelope envelope;
     envelope.id = 0;
     envelope.reply = true;
-    envelope.body.__set_grants(refusal);
+    envelope.body.__set_grants(rejection);
     from.Send(envelope);
     return;
   }
-  Hosted& hosted = found->second;
-  hosted.m_lines[demand.incarnation] = {from.weak_from_this(), demand.sequence};
+  HostedBroker& hosted = found->second;
+  hosted.m_connections[demand.incarnation] = {from.weak_from_this(), demand.sequence};
   Send(demand.pool, hosted, HandleDemand(hosted.m_broker, FromWire(demand, now), now));
 }
 
 void BrokerService::Send(const std::string& pool,
-                         Hosted& hosted,
+                         HostedBroker& hosted,
                          const std::vector<GrantBatch>& batches) {
   for (const GrantBatch& batch : batches) {
-    const GatewayLine& line = hosted.m_lines[batch.m_gateway];
-    const std::shared_ptr<PeerConnection> connection = line.m_connection.lock();
+    const GatewayConnection& gateway = hosted.m_connections[batch.m_gateway];
+    const std::shared_ptr<PeerConnection> connection = gateway.m_connection.lock();
     if (!connection)
-      continue;  // Its credits come back by its resync or by its lease.
+      continue;  // The gateway's resync or the end of its lease returns these credits.
     wire::Envelope envelope;
     envelope.id = 0;
     envelope.reply = true;
-    envelope.body.__set_grants(ToWire(pool, batch, hosted.m_broker.m_epoch, line.m_sequence));
+    envelope.body.__set_grants(ToWire(pool, batch, hosted.m_broker.m_epoch, gateway.m_sequence));
     envelope.body.grants.lease_ms = m_settings.m_lease_ms;
     connection->Send(envelope);
   }
@@ -121,15 +121,15 @@
 
 void BrokerService::Tick(Instant now) {
   for (auto it = m_brokers.begin(); it != m_brokers.end();) {
-    Hosted& hosted = it->second;
+    HostedBroker& hosted = it->second;
     if (now >= hosted.m_valid_until) {
       POPPYWAY_LOG(warning, "broker_lease_ran_out").Field("pool", it->first);
       it = m_brokers.erase(it);
       continue;
     }
     Send(it->first, hosted, TickBroker(hosted.m_broker, now));
-    std::erase_if(hosted.m_lines, [&hosted](const auto& line) {
-      return !hosted.m_broker.m_gateways.contains(line.first);
+    std::erase_if(hosted.m_connections, [&hosted](const auto& gateway) {
+      return !hosted.m_broker.m_gateways.contains(gateway.first);
     });
     ++it;
   }
--- a/apps/poppywayd/control_server.cc
+++ b/apps/poppywayd/control_server.cc
@@ -8,12 +8,13 @@
 namespace {
 
 constexpr std::uint64_t kIdleMillis = 30'000;
-// Another writer may send heartbeats that can't be used without end: the counters tell of the rest.
-constexpr Duration kLinesInterval{1'000'000};
-constexpr int kMostLines = 10;
-constexpr std::size_t kMostLogged = 300;  // Bytes of a target: the longest id of a server fits.
+// Other senders may send unusable heartbeats without end. At most `kMaxLogLines` are logged in each
+// interval; the counters cover all of them.
+constexpr Duration kLogInterval{1'000'000};
+constexpr int kMaxLogLines = 10;
+constexpr std::size_t kMaxLoggedTargetBytes = 300;  // The longest id of a server fits.
 
-/// A request that may be gone by the time its outcome is known.
+/// A request that may be destroyed before its outcome is known; `m_req` is null from then on.
 struct PendingRequest {
   h2o_req_t* m_req = nullptr;
 };
@@ -30,14 +31,14 @@
   return pending;
 }
 
-void Answer(const PendingRequest& pending, const platform::ControlResponse& answer) {
+void SendAnswer(const PendingRequest& pending, const platform::ControlResponse& answer) {
   if (pending.m_req != nullptr)
     SendResponse(pending.m_req, answer.m_status, "application/json", answer.m_body);
 }
 
-void LogCall(const platform::ControlRequest& call, int status, Instant begun) {
+void LogCall(const platform::ControlRequest& call, int status, Instant started) {
   using Kind = platform::ControlRequest::Kind;
-  const Duration took = ReadClock() - begun;
+  const Duration took = ReadClock() - started;
   if (call.m_kind == Kind::kPutDocument) {
     POPPYWAY_LOG(info, "document_call")
         .Field("version", call.m_document.version)
@@ -62,11 +63,11 @@
         .Field("took_ms", took.count() / 1000);
     return;
   }
-  const bool beat = call.m_kind == Kind::kServerHeartbeat &&
-                    call.m_server.stage == wire::ServerStage::READY && status == 200;
-  const bool read = call.m_kind == Kind::kReadDocument || call.m_kind == Kind::kReadRollout;
-  if (beat || read)
-    return;  // They come all the time and change nothing.
+  const bool is_heartbeat = call.m_kind == Kind::kServerHeartbeat &&
+                            call.m_server.stage == wire::ServerStage::READY && status == 200;
+  const bool is_read = call.m_kind == Kind::kReadDocument || call.m_kind == Kind::kReadRollout;
+  if (is_heartbeat || is_read)
+    return;  // These requests are frequent and change nothing.
   POPPYWAY_LOG(info, "server_call")
       .Field("server", call.m_server.id)
       .Field("stage", static_cast<int>(call.m_server.stage))
@@ -76,57 +77,58 @@
 
 }  // namespace
 
-ControlServer::ControlServer(EventLoop& loop, const Endpoint& place, MemberService& member)
-    : m_place(place),
+ControlServer::ControlServer(EventLoop& loop, const Endpoint& endpoint, MemberService& member)
+    : m_endpoint(endpoint),
       m_member(member),
       m_server(loop, HttpLimits{kMaxDocumentBytes, kIdleMillis}, [this](h2o_req_t* req) {
         OnRequest(req);
       }) {}
 
 Result<void> ControlServer::Listen() {
-  return m_server.Listen(m_place.m_address, m_place.m_port);
+  return m_server.Listen(m_endpoint.m_address, m_endpoint.m_port);
 }
 
-bool ControlServer::MayLogRefused(Instant now) {
-  if (now - m_lines_since >= kLinesInterval) {
-    m_lines_since = now;
-    m_lines = 0;
+bool ControlServer::MayLogRejected(Instant now) {
+  if (now - m_log_interval_start >= kLogInterval) {
+    m_log_interval_start = now;
+    m_log_lines = 0;
   }
-  return ++m_lines <= kMostLines;
+  return ++m_log_lines <= kMaxLogLines;
 }
 
 void ControlServer::AddMetrics(MetricSet& metrics) const {
-  for (std::size_t i = 0; i < m_refused.size(); ++i) {
-    const auto fault = static_cast<platform::HeartbeatError>(i);
-    const std::string label = "reason=\"" + std::string(platform::HeartbeatErrorName(fault)) + "\"";
-    metrics.Set("poppyway_heartbeats_refused_total", label, static_cast<double>(m_refused[i]));
+  for (std::size_t i = 0; i < m_rejected.size(); ++i) {
+    const auto heartbeat_error = static_cast<platform::HeartbeatError>(i);
+    const std::string label =
+        "reason=\"" + std::string(platform::HeartbeatErrorName(heartbeat_error)) + "\"";
+    metrics.Set("poppyway_heartbeats_refused_total", label, static_cast<double>(m_rejected[i]));
   }
 }
 
 void ControlServer::OnRequest(h2o_req_t* req) {
   using Kind = platform::ControlRequest::Kind;
-  const Instant begun = ReadClock();
+  const Instant started = ReadClock();
   const std::string_view method(req->method.base, req->method.len);
   const std::string_view target(req->path.base, req->path.len);
   const std::string_view body(req->entity.base, req->entity.len);
   Result<platform::ControlRequest> call = platform::DecodeControlRequest(method, target, body);
   if (!call) {
     const platform::ControlResponse answer = platform::EncodeControlError(call.error());
-    const auto fault = platform::FindHeartbeatError(method, target, body);
-    if (fault)
-      ++m_refused[static_cast<std::size_t>(*fault)];
-    if (!fault || MayLogRefused(begun))
+    const auto heartbeat_error = platform::FindHeartbeatError(method, target, body);
+    if (heartbeat_error)
+      ++m_rejected[static_cast<std::size_t>(*heartbeat_error)];
+    if (!heartbeat_error || MayLogRejected(started))
       POPPYWAY_LOG(warning, "call_refused")
-          .Field("target", target.substr(0, kMostLogged))
+          .Field("target", target.substr(0, kMaxLoggedTargetBytes))
           .Field("why", call.error().m_message);
     SendResponse(req, answer.m_status, "application/json", answer.m_body);
     return;
   }
   const std::shared_ptr<PendingRequest> pending = Track(req);
-  const ReplyFn reply = [pending, call = *call, begun](wire::Body outcome) {
+  const ReplyFn reply = [pending, call = *call, started](wire::Body outcome) {
     const platform::ControlResponse answer = platform::EncodeControlResponse(call, outcome);
-    LogCall(call, answer.m_status, begun);
-    Answer(*pending, answer);
+    LogCall(call, answer.m_status, started);
+    SendAnswer(*pending, answer);
   };
   switch (call->m_kind) {
     case Kind::kPutDocument:
@@ -149,7 +151,7 @@
       m_member.SubmitEvacuation(call->m_evacuation, reply);
       return;
     case Kind::kUnknown:
-      Answer(*pending, platform::EncodeControlResponse(*call, {}));
+      SendAnswer(*pending, platform::EncodeControlResponse(*call, {}));
       return;
   }
 }
--- a/apps/poppywayd/control_server.h
+++ b/apps/poppywayd/control_server.h
@@ -11,26 +11,29 @@
 
 namespace poppyway {
 
-/// \brief Where operators and backend servers call a member of a hosted deployment. Belongs to the
-/// control task; the platform adapter translates the calls.
+/// \brief HTTP server for the requests of operators and backend servers to a member of a hosted
+/// deployment. The platform adapter decodes the requests and encodes the responses. Not
+/// thread-safe: it belongs to the control task.
 class ControlServer {
  public:
-  ControlServer(EventLoop& loop, const Endpoint& place, MemberService& member);
+  /// `loop` and `member` must outlive the server.
+  ControlServer(EventLoop& loop, const Endpoint& endpoint, MemberService& member);
 
+  /// Listens at the endpoint, or returns why it can't.
   [[nodiscard]] Result<void> Listen();
   void AddMetrics(MetricSet& metrics) const;
 
  private:
   void OnRequest(h2o_req_t* req);
-  /// False once as many refused heartbeats were logged as an interval may.
-  [[nodiscard]] bool MayLogRefused(Instant now);
+  /// Counts a log line on a rejected heartbeat; returns false if the interval's limit is exceeded.
+  [[nodiscard]] bool MayLogRejected(Instant now);
 
-  Endpoint m_place;
+  Endpoint m_endpoint;
   MemberService& m_member;
   HttpServer m_server;
-  std::array<std::uint64_t, platform::kHeartbeatErrorCount> m_refused{};  ///< By fault.
-  Instant m_lines_since{};
-  int m_lines = 0;
+  std::array<std::uint64_t, platform::kHeartbeatErrorCount> m_rejected{};  ///< By error.
+  Instant m_log_interval_start{};
+  int m_log_lines = 0;  ///< Log lines since `m_log_interval_start`.
 };
 
 }  // namespace poppyway
--- a/apps/poppywayd/control_task.cc
+++ b/apps/poppywayd/control_task.cc
@@ -10,8 +10,9 @@
 constexpr std::uint64_t kBusyTickMillis = 5;
 constexpr std::uint64_t kIdleTickMillis = 50;
 constexpr std::uint64_t kMetricsMillis = 1000;
-constexpr Duration kStall{100'000};      // Twice the interval of the log's heartbeats.
-constexpr Duration kLongQueue{100'000};  // A message that waits for longer is late for its reader.
+constexpr Duration kStallThreshold{100'000};  // This is twice the interval of the log's heartbeats.
+// A message that waits longer is late for its receiver.
+constexpr Duration kQueueDelayThreshold{100'000};
 
 }  // namespace
 
@@ -24,12 +25,12 @@
       m_to_gateway(std::move(to_gateway)),
       m_brokers(settings),
       m_instance(loop, settings, incarnation, m_brokers, m_to_gateway),
-      m_platform(loop,
-                 settings.m_platform_list,
-                 [this](const LeavingServers& leaving) {
-                   m_brokers.OnLeaving(leaving.m_servers);
-                   m_to_gateway(leaving);
-                 }),
+      m_leaving_poller(loop,
+                       settings.m_platform_list,
+                       [this](const LeavingServers& leaving) {
+                         m_brokers.OnLeaving(leaving.m_servers);
+                         m_to_gateway(leaving);
+                       }),
       m_member(IsMember(settings) ? std::make_unique<MemberService>(loop, settings) : nullptr),
       m_server(
           loop,
@@ -65,9 +66,9 @@
 }
 
 void ControlTask::LogStall(Instant now) {
-  if (m_ticked != Instant{} && now - m_ticked > kStall) {
+  if (m_last_tick_end != Instant{} && now - m_last_tick_end > kStallThreshold) {
     ++m_stalls;
-    POPPYWAY_LOG(warning, "loop_stalled").Field("ms", (now - m_ticked).count() / 1000);
+    POPPYWAY_LOG(warning, "loop_stalled").Field("ms", (now - m_last_tick_end).count() / 1000);
   }
 }
 
@@ -77,10 +78,10 @@
   if (m_member)
     m_member->Tick(now);
   m_brokers.Tick(now);
-  const bool takes_callers = !m_settings.m_hosted || m_has_forwarder;
-  if (takes_callers)
+  const bool runs_agent = !m_settings.m_hosted || m_has_forwarder;
+  if (runs_agent)
     m_instance.Tick(now);
-  m_platform.Tick(now);
+  m_leaving_poller.Tick(now);
   if (m_stop_requested.load() && !m_stopping) {
     m_stopping = true;
     POPPYWAY_LOG(info, "stopping")
@@ -92,21 +93,22 @@
     POPPYWAY_LOG(info, "stopped");
     m_loop.Stop();
   }
-  m_ticked = ReadClock();
-  // A member's elections and heartbeats need the short interval; others only when work waits.
+  m_last_tick_end = ReadClock();
+  // The elections and heartbeats of a member need the short interval. Other instances need it only
+  // while work is pending.
   return m_member || m_stopping || m_brokers.HasPendingWork() || m_instance.HasPendingWork();
 }
 
-SendQueueStats ControlTask::Queue() const {
+SendQueueStats ControlTask::CombinedQueueStats() const {
   const SendQueueStats peers = CombineQueueStats(m_server.queue_stats(), m_instance.queue_stats());
   return m_member ? CombineQueueStats(peers, m_member->queue_stats()) : peers;
 }
 
-void ControlTask::LogQueue() const {
-  const SendQueueStats queue = Queue();
+void ControlTask::LogQueueDelay() const {
+  const SendQueueStats queue = CombinedQueueStats();
   const Duration waited =
       queue.m_nonempty_since == Instant{} ? Duration(0) : ReadClock() - queue.m_nonempty_since;
-  if (waited > kLongQueue)
+  if (waited > kQueueDelayThreshold)
     POPPYWAY_LOG(info, "peer_queue")
         .Field("bytes", queue.m_bytes)
         .Field("waited_ms", waited.count() / 1000);
@@ -121,14 +123,15 @@
       m_server.bytes_sent() + m_instance.bytes_sent() + (m_member ? m_member->bytes_sent() : 0);
   metrics.Set("poppyway_loop_stalls", "", static_cast<double>(m_stalls));
   metrics.Set("poppyway_peer_sent_bytes", "", static_cast<double>(sent));
-  metrics.Set("poppyway_peer_queued_bytes", "", static_cast<double>(Queue().m_bytes));
+  metrics.Set("poppyway_peer_queued_bytes", "", static_cast<double>(CombinedQueueStats().m_bytes));
 }
 
 void ControlTask::PublishMetrics() {
-  LogQueue();
+  LogQueueDelay();
   MetricSet metrics;
   AddMetrics(metrics);
-  metrics.Set("poppyway_platform_list_failures", "", static_cast<double>(m_platform.failures()));
+  metrics.Set("poppyway_platform_list_failures", "",
+              static_cast<double>(m_leaving_poller.failures()));
   metrics.Add("poppyway_peer_messages_refused_total", "", m_bad_messages);
   m_to_gateway(ControlMetrics{metrics.Text()});
 }
@@ -146,7 +149,7 @@
     open->Send(reply_envelope);
   };
   if (body.__isset.place_batch && m_member) {
-    m_member->OnPlaces(body.place_batch, connection);
+    m_member->OnSlotBatch(body.place_batch, connection);
   } else if (body.__isset.demand) {
     m_brokers.OnDemand(body.demand, connection);
   } else if (!m_member) {
@@ -177,17 +180,18 @@
     m_member->OnPropose(body.propose, reply);
   } else if (body.__isset.propose && !body.propose.commands.empty() &&
              !body.propose.commands.front().__isset.config) {
-    reply(m_member->NotLeader());  // Instances look for the leader themselves.
+    reply(m_member->NotLeader());  // Instances find the leader themselves.
   } else {
     OnOperator(body, reply);
   }
 }
 
-void ControlTask::LeaderOnly(const ReplyFn& reply, const std::function<void()>& act) {
+void ControlTask::LeaderOnly(const ReplyFn& reply, const std::function<void()>& action) {
   if (m_member->is_leader())
-    act();
+    action();
   else
-    reply(m_member->NotLeader());  // Never passed on twice: leaders change, and calls would circle.
+    // A request is forwarded only once; while leaders change, it could circulate among members.
+    reply(m_member->NotLeader());
 }
 
 void ControlTask::OnOperator(const wire::Body& body, const ReplyFn& reply) {
--- a/apps/poppywayd/control_task.h
+++ b/apps/poppywayd/control_task.h
@@ -14,51 +14,55 @@
 
 namespace poppyway {
 
-/// \brief The control task of a daemon: peers, log member, brokers, instance duties. One thread.
+/// \brief The control task of a daemon: it serves peers and runs the log member, the brokers and
+/// the instance agent. Unless noted otherwise, its functions run on the thread of `loop`.
 class ControlTask {
  public:
+  /// \param incarnation the name of this run of the instance.
+  /// \param to_gateway sends a message to the gateway task.
   ControlTask(EventLoop& loop,
               const DaemonSettings& settings,
               const std::string& incarnation,
               std::function<void(ControlMessage)> to_gateway);
 
-  /// Hosted: where news for the forwarder goes. Call before `Start`.
+  /// Sets the receiver of the forwarder's messages. Hosted deployments only; call before `Start`.
   void SetForwarder(ForwarderPort port);
-  /// Hosted: to the broker of places.
+  /// Returns the port to the slot broker. Hosted deployments only.
   [[nodiscard]] BrokerPort MakeSlotBrokerPort() { return m_instance.MakeSlotBrokerPort(); }
-  /// Hosted: other ways to reach the members.
+  /// Adds addresses at which members can be reached. Hosted deployments only.
   void AddSeeds(const std::vector<MemberSettings>& seeds);
-  /// Null on an instance without a disk.
+  /// Returns the log member, or null on an instance without a disk.
   [[nodiscard]] MemberService* member() noexcept { return m_member.get(); }
-  /// Opens storage and listens for peers.
+  /// Opens the storage and listens for peers, or returns the first error.
   [[nodiscard]] Result<void> Start();
-  /// Messages of the gateway task arrive here, from any thread.
+  /// Returns the mailbox for messages of the gateway task; any thread may send to it.
   [[nodiscard]] Mailbox<GatewayMessage>& inbox() noexcept { return m_inbox; }
-  /// Of the peers, the member and the instance.
+  /// Adds the metrics of the peers, the member, the brokers and the instance.
   void AddMetrics(MetricSet& metrics) const;
-  /// Asks for a planned stop; safe in a signal handler.
+  /// Requests a planned stop. Thread-safe and safe in a signal handler.
   void RequestStop() noexcept { m_stop_requested.store(true); }
 
  private:
   void OnPeer(PeerConnection& connection, wire::Envelope envelope);
-  void LeaderOnly(const ReplyFn& reply, const std::function<void()>& act);
+  /// Calls `action` if this member leads; otherwise replies which member does.
+  void LeaderOnly(const ReplyFn& reply, const std::function<void()>& action);
   void OnOperator(const wire::Body& body, const ReplyFn& reply);
   /// Returns whether the next tick is due soon.
   bool Tick();
   void PublishMetrics();
-  /// Writes a line if the loop did nothing else for long since its last tick.
+  /// Logs a stall if the time since the end of the last tick exceeds a limit.
   void LogStall(Instant now);
-  /// What waits to be written to peers.
-  [[nodiscard]] SendQueueStats Queue() const;
-  /// At most one line a call, where something has waited for long.
-  void LogQueue() const;
+  /// Returns the state of all queues of messages to peers.
+  [[nodiscard]] SendQueueStats CombinedQueueStats() const;
+  /// Logs the queues to peers if a message has waited in them for too long.
+  void LogQueueDelay() const;
 
   EventLoop& m_loop;
   DaemonSettings m_settings;
   std::function<void(ControlMessage)> m_to_gateway;
   BrokerService m_brokers;
   InstanceAgent m_instance;
-  LeavingServerPoller m_platform;
+  LeavingServerPoller m_leaving_poller;
   std::unique_ptr<MemberService> m_member;  ///< Null on an instance without a disk.
   PeerServer m_server;
   Mailbox<GatewayMessage> m_inbox;
@@ -68,8 +72,8 @@
   bool m_stopping = false;
   bool m_has_forwarder = false;
   std::uint64_t m_bad_messages = 0;
-  Instant m_ticked{};          ///< End of the last tick.
-  std::uint64_t m_stalls = 0;  ///< Of the loop.
+  Instant m_last_tick_end{};
+  std::uint64_t m_stalls = 0;  ///< Stalls of the event loop.
 };
 
 }  // namespace poppyway
--- a/apps/poppywayd/hosted_daemon.cc
+++ b/apps/poppywayd/hosted_daemon.cc
@@ -17,17 +17,21 @@
 
 constexpr int kUsageExit = 64;
 constexpr int kStartFailedExit = 70;
-constexpr std::uint16_t kMetricsOffset =
-    10;  // From the first internal port; see deploy/system.toml.
-// Heartbeats carry liveness and versions only; a broker that is gone shows by its answers sooner.
+// The offset of the metrics port from the first internal port; see deploy/system.toml.
+constexpr std::uint16_t kMetricsOffset = 10;
+// Heartbeats carry liveness and versions only; the responses to other requests, or their absence,
+// reveal a lost broker sooner.
 constexpr std::int64_t kHeartbeatMs = 500;
-constexpr std::int64_t kLeaseMs = 1500;  // An instance silent for longer counts as gone.
-constexpr double kConfirmShare =
-    0.9;  // Of the bound on removed keys; the rest is for our own delays.
-constexpr Duration kUnbounded{30'000'000};  // Where there is no bound: how stale we agree to be.
-constexpr double kRetryPart = 0.6;  // Of the shared limit is spent; callers' windows aren't ours.
+constexpr std::int64_t kLeaseMs = 1500;  // An instance without a heartbeat for longer is gone.
+// The share of the key revocation limit for which a confirmation is valid; the rest covers the
+// daemon's own delays.
+constexpr double kConfirmShare = 0.9;
+// The maximum staleness of the configuration where no key revocation limit is set.
+constexpr Duration kDefaultStaleness{30'000'000};
+// The share of the retry limit that is used, since callers count it over windows of their own.
+constexpr double kRetryShare = 0.6;
 constexpr std::uint64_t kSignalMillis = 20;
-constexpr Duration kMemberStopTime{100'000};  // For replies that are on their way.
+constexpr Duration kMemberStopTime{100'000};  // This lets responses that are being sent arrive.
 
 std::atomic<bool> g_stop{false};
 std::atomic<bool> g_reload{false};
@@ -40,15 +44,15 @@
   g_reload.store(true);
 }
 
-/// Our own protocol's place beside a control address.
-Endpoint PeerBeside(const Endpoint& control, std::uint16_t port) {
+/// Returns the endpoint of the peer protocol on the host of a control endpoint.
+Endpoint PeerEndpoint(const Endpoint& control, std::uint16_t port) {
   return {control.m_address, port};
 }
 
 std::vector<MemberSettings> SeedMembers(const platform::HostedSettings& hosted) {
   std::vector<MemberSettings> members;
   for (const Endpoint& seed : hosted.m_seeds) {
-    const Endpoint peer = PeerBeside(seed, hosted.m_first_internal_port);
+    const Endpoint peer = PeerEndpoint(seed, hosted.m_first_internal_port);
     members.push_back({ToText(peer), peer});
   }
   return members;
@@ -70,8 +74,8 @@
   settings.m_may_bootstrap = hosted.m_bootstrap;
   settings.m_heartbeat_ms = kHeartbeatMs;
   settings.m_lease_ms = kLeaseMs;
-  const Duration bound =
-      hosted.m_key_revocation_limit > Duration(0) ? hosted.m_key_revocation_limit : kUnbounded;
+  const Duration bound = hosted.m_key_revocation_limit > Duration(0) ? hosted.m_key_revocation_limit
+                                                                     : kDefaultStaleness;
   settings.m_exposure_share = hosted.m_exposure.m_share;
   settings.m_exposure_slack = hosted.m_exposure.m_slack;
   settings.m_confirmation_ttl_ms =
@@ -79,7 +83,7 @@
   return settings;
 }
 
-Endpoint MetricsPlace(const platform::HostedSettings& hosted) {
+Endpoint MetricsEndpoint(const platform::HostedSettings& hosted) {
   return {hosted.m_address,
           static_cast<std::uint16_t>(hosted.m_first_internal_port + kMetricsOffset)};
 }
@@ -92,19 +96,20 @@
   settings.m_slow_start_tolerance = hosted.m_slow_start_tolerance;
   settings.m_caller_endpoint = hosted.m_caller_endpoint;
   settings.m_readiness_endpoint = hosted.m_readiness_endpoint;
-  settings.m_metrics_endpoint = MetricsPlace(hosted);
+  settings.m_metrics_endpoint = MetricsEndpoint(hosted);
   settings.m_shutdown_timeout = hosted.m_shutdown_timeout;
   settings.m_retry_limit = hosted.m_retry_limit;
-  settings.m_retry_limit.m_ratio *= kRetryPart;
-  settings.m_retry_limit.m_burst *= kRetryPart;
+  settings.m_retry_limit.m_ratio *= kRetryShare;
+  settings.m_retry_limit.m_burst *= kRetryShare;
   settings.m_quota_tolerance = hosted.m_quota_tolerance;
-  settings.m_max_config_staleness =
-      hosted.m_key_revocation_limit > Duration(0) ? hosted.m_key_revocation_limit : kUnbounded;
+  settings.m_max_config_staleness = hosted.m_key_revocation_limit > Duration(0)
+                                        ? hosted.m_key_revocation_limit
+                                        : kDefaultStaleness;
   return settings;
 }
 
-/// Reads the limits of cold servers out of the operator's document.
-MemberService::ColdLimitReader ColdReaderOf(const SlowStartTolerance& tolerance) {
+/// Returns a reader of the slow-start limits in the operator's document.
+MemberService::SlowStartLimitReader MakeSlowStartLimitReader(const SlowStartTolerance& tolerance) {
   return [tolerance, decode = platform::MakeProtocolAdapter().m_decode_document](
              const wire::Document& document) -> Result<std::map<std::string, SlowStartLimit>> {
     const Result<RouteTable> table = decode(document.version, document.body);
@@ -119,7 +124,7 @@
   };
 }
 
-/// All parts of a hosted daemon, on one loop.
+/// The parts of a hosted daemon, which share one event loop.
 class HostedDaemon {
  public:
   explicit HostedDaemon(const platform::HostedSettings& hosted, const std::string& path)
@@ -137,15 +142,16 @@
       m_forwarder->SetExtraMetrics([this](MetricSet& metrics) { m_control.AddMetrics(metrics); });
     }
     if (m_control.member() != nullptr)
-      m_control.member()->SetColdLimitReader(ColdReaderOf(hosted.m_slow_start_tolerance));
+      m_control.member()->SetSlowStartLimitReader(
+          MakeSlowStartLimitReader(hosted.m_slow_start_tolerance));
     if (hosted.m_control_endpoint.m_port != 0 && m_control.member() != nullptr)
       m_server =
           std::make_unique<ControlServer>(m_loop, hosted.m_control_endpoint, *m_control.member());
     if (!m_forwarder) {
-      // A gateway's forwarder serves its own.
+      // On an instance with a forwarder, the forwarder serves the metrics.
       m_metrics = std::make_unique<HttpServer>(m_loop, HttpLimits{},
                                                [this](h2o_req_t* req) { ReplyMetrics(req); });
-      m_metrics_place = MetricsPlace(hosted);
+      m_metrics_endpoint = MetricsEndpoint(hosted);
     }
   }
 
@@ -157,7 +163,8 @@
         return listening;
     }
     if (m_metrics) {
-      Result<void> listening = m_metrics->Listen(m_metrics_place.m_address, m_metrics_place.m_port);
+      Result<void> listening =
+          m_metrics->Listen(m_metrics_endpoint.m_address, m_metrics_endpoint.m_port);
       if (!listening)
         return listening;
     }
@@ -200,9 +207,9 @@
       if (m_forwarder)
         m_forwarder->BeginShutdown();
     }
-    const bool over =
+    const bool complete =
         m_forwarder ? m_forwarder->ShutdownComplete() : now - m_shutdown_started >= kMemberStopTime;
-    if (!over)
+    if (!complete)
       return;
     POPPYWAY_LOG(info, "stopped").Field("took_ms", (now - m_shutdown_started).count() / 1000);
     m_loop.Stop();
@@ -215,7 +222,7 @@
   std::unique_ptr<Forwarder> m_forwarder;
   std::unique_ptr<ControlServer> m_server;
   std::unique_ptr<HttpServer> m_metrics;
-  Endpoint m_metrics_place;
+  Endpoint m_metrics_endpoint;
   RepeatingTimer m_signals;
   Instant m_shutdown_started{};
 };
--- a/apps/poppywayd/hosted_daemon.h
+++ b/apps/poppywayd/hosted_daemon.h
@@ -4,9 +4,10 @@
 
 namespace poppyway {
 
-/// \brief Runs the daemon on a hosting platform, which starts it with a settings file of its own
-/// and without arguments of ours. One thread carries all tasks, since such machines have a part of
-/// one core. \return the process's exit code.
+/// \brief Runs the daemon on a hosting platform, which passes no arguments; an environment variable
+/// names the platform's settings file. All tasks run on one thread, since such machines have only a
+/// part of one core.
+/// \return the process's exit code.
 [[nodiscard]] int RunHosted();
 
 }  // namespace poppyway
--- a/apps/poppywayd/incarnation.h
+++ b/apps/poppywayd/incarnation.h
@@ -6,7 +6,8 @@
 
 namespace poppyway {
 
-/// \brief A name that is unique for each run of each instance.
+/// \brief Makes a name that is unique for each run of each instance: the instance's name and 48
+/// random bits.
 [[nodiscard]] std::string MakeIncarnation(const std::string& instance);
 
 }  // namespace poppyway
--- a/apps/poppywayd/instance_agent.cc
+++ b/apps/poppywayd/instance_agent.cc
@@ -12,20 +12,20 @@
 constexpr std::size_t kMaxBatch = 256;  // Commands in one proposal.
 constexpr int kMaxProposalsOut = 4;
 constexpr std::size_t kMaxCommands = 100'000;
-constexpr std::size_t kMaxSequences = 512;
+constexpr std::size_t kMaxSequences = 512;  // Demands whose send time is kept, for each broker.
 constexpr Duration kProposeTimeout{1'000'000};
 constexpr Duration kProposeBackoff{50'000};
-constexpr Duration kLeastClaimLimit{2'000'000};
-constexpr Duration kFinishLimit{60'000'000};
+constexpr Duration kMinClaimTimeout{2'000'000};
+constexpr Duration kFinishTimeout{60'000'000};
 constexpr Duration kPollBackoff{100'000};
-// A member that lagged is a follower that was cut off or restarts; it has caught up by then.
-constexpr Duration kAvoidSource{5'000'000};
+// A member that lags is a follower that was partitioned or is restarting; it has caught up by then.
+constexpr Duration kSourceExclusion{5'000'000};
 constexpr std::int64_t kPollWaitMs = 5'000;
-constexpr Duration kAdoptionRest{100};  // For each microsecond that adopting took.
-constexpr Duration kMaxAdoptionRest{2'000'000};
+constexpr Duration kApplyPauseFactor{100};  // The pause for each microsecond that applying took.
+constexpr Duration kMaxApplyPause{2'000'000};
 constexpr Duration kForwardTimeout{5'000'000};
 
-wire::LedgerFinish ReleaseOf(const wire::LedgerClaim& claim) {
+wire::LedgerFinish MakeRelease(const wire::LedgerClaim& claim) {
   wire::LedgerFinish finish;
   finish.key = claim.key;
   finish.owner = claim.owner;
@@ -34,12 +34,12 @@
   return finish;
 }
 
-/// Until when a claim is awaited. A leader that changes or a slow disk ends by itself; half of what
-/// a request has left is kept for its run. What may run without the ledger waits no longer than it
-/// must.
+/// Returns when a claim expires. Leader changes and slow disks are transient, so a request that
+/// needs the ledger waits for half of its remaining time and keeps the other half for its run, but
+/// waits at least the minimum. A request that may run without the ledger waits the minimum only.
 Instant ClaimExpiry(const ClaimKey& claim, Instant now) {
   const Duration half = (claim.m_deadline - now) / 2;
-  return now + (claim.m_needs_ledger ? std::max(half, kLeastClaimLimit) : kLeastClaimLimit);
+  return now + (claim.m_needs_ledger ? std::max(half, kMinClaimTimeout) : kMinClaimTimeout);
 }
 
 }  // namespace
@@ -55,31 +55,31 @@
       m_brokers(brokers),
       m_to_gateway(std::move(to_gateway)) {
   for (const MemberSettings& member : settings.m_members)
-    (void)ContactAt(member.m_peer);
-  // Readers spread over the members.
+    (void)FindOrAddMember(member.m_peer);
+  // The hash spreads the instances' polls over the members.
   m_poll_member = Hash(m_incarnation) % m_members.size();
   if (m_settings.m_hosted)
     m_poller = std::make_unique<HostedStatePoller>(MakePollerCallbacks());
 }
 
-std::size_t InstanceAgent::ContactAt(const Endpoint& place) {
-  const auto known = std::find(m_places.begin(), m_places.end(), place);
-  if (known != m_places.end())
-    return static_cast<std::size_t>(known - m_places.begin());
-  m_places.push_back(place);
+std::size_t InstanceAgent::FindOrAddMember(const Endpoint& endpoint) {
+  const auto known = std::find(m_member_endpoints.begin(), m_member_endpoints.end(), endpoint);
+  if (known != m_member_endpoints.end())
+    return static_cast<std::size_t>(known - m_member_endpoints.begin());
+  m_member_endpoints.push_back(endpoint);
   m_sources.emplace_back();
-  const std::size_t index = m_places.size() - 1;
-  m_members.push_back(std::make_unique<PeerClient>(m_loop, place.m_address, place.m_port));
+  const std::size_t index = m_member_endpoints.size() - 1;
+  m_members.push_back(std::make_unique<PeerClient>(m_loop, endpoint.m_address, endpoint.m_port));
   if (m_settings.m_hosted) {
     m_members.back()->SetOnPush([this, index](wire::Body body) { OnPush(index, body); });
-    m_members.back()->SetOnLost([this, index] { OnMemberLost(index); });
+    m_members.back()->SetOnLost([this, index] { OnMemberDisconnected(index); });
   }
   return index;
 }
 
 void InstanceAgent::AddSeeds(const std::vector<MemberSettings>& seeds) {
   for (const MemberSettings& seed : seeds)
-    (void)ContactAt(seed.m_peer);
+    (void)FindOrAddMember(seed.m_peer);
 }
 
 PeerClient& InstanceAgent::Leader() {
@@ -87,14 +87,14 @@
 }
 
 void InstanceAgent::Tick(Instant now) {
-  if (now >= m_beat_due)
-    Beat(now);
-  // Right after a restart of all, a member that lags may tell an older configuration than was
-  // accepted: until a leader's version is in force here, this instance isn't ready.
-  m_caught_up =
-      m_caught_up || (m_contact != Instant{} && m_version > 0 && m_version >= m_leader_version);
+  if (now >= m_heartbeat_due)
+    SendHeartbeat(now);
+  // Right after a restart of all instances, a lagging member may send an older configuration than
+  // the accepted one, so this instance isn't ready until a leader's version is in force here.
+  m_caught_up = m_caught_up ||
+                (m_last_contact != Instant{} && m_version > 0 && m_version >= m_leader_version);
   const bool fresh =
-      m_caught_up && now - m_contact < std::chrono::milliseconds(m_settings.m_stale_after_ms);
+      m_caught_up && now - m_last_contact < std::chrono::milliseconds(m_settings.m_stale_after_ms);
   if (fresh != m_fresh) {
     m_fresh = fresh;
     POPPYWAY_LOG(info, "freshness").Field("fresh", fresh).Field("version", m_version);
@@ -108,67 +108,67 @@
   FlushCommands();
 }
 
-void InstanceAgent::Beat(Instant now) {
-  m_beat_due = now + std::chrono::milliseconds(m_settings.m_heartbeat_ms);
-  wire::Heartbeat beat;
-  beat.instance = m_settings.m_instance;
-  beat.incarnation = m_incarnation;
-  beat.address = m_settings.m_peer.m_address;
-  beat.port = m_settings.m_peer.m_port;
-  beat.data_centre = m_settings.m_data_centre;
-  beat.version_in_force = m_version;
-  beat.ready = m_fresh && !m_stopping;
-  beat.stopping = m_stopping;
-  beat.http = ToText(m_settings.m_http);
-  beat.leases_seen = m_leases_seen;
-  beat.members_seen = m_members_digest;
+void InstanceAgent::SendHeartbeat(Instant now) {
+  m_heartbeat_due = now + std::chrono::milliseconds(m_settings.m_heartbeat_ms);
+  wire::Heartbeat heartbeat;
+  heartbeat.instance = m_settings.m_instance;
+  heartbeat.incarnation = m_incarnation;
+  heartbeat.address = m_settings.m_peer.m_address;
+  heartbeat.port = m_settings.m_peer.m_port;
+  heartbeat.data_centre = m_settings.m_data_centre;
+  heartbeat.version_in_force = m_version;
+  heartbeat.ready = m_fresh && !m_stopping;
+  heartbeat.stopping = m_stopping;
+  heartbeat.http = ToText(m_settings.m_http);
+  heartbeat.leases_seen = m_leases_seen;
+  heartbeat.members_seen = m_members_digest;
   if (m_poller)
-    beat.version_in_force = m_poller->document_version();
+    heartbeat.version_in_force = m_poller->document_version();
   wire::Body body;
-  body.__set_heartbeat(beat);
+  body.__set_heartbeat(heartbeat);
   Leader().Call(std::move(body), std::chrono::milliseconds(m_settings.m_lease_ms) / 3,
-                [this, now, asked = m_leader](Result<wire::Body> reply) {
-                  if (m_settings.m_hosted && asked != m_leader)
-                    return;  // Another leader has been found since.
+                [this, now, recipient = m_leader](Result<wire::Body> reply) {
+                  if (m_settings.m_hosted && recipient != m_leader)
+                    return;  // This instance has switched to another leader since.
                   if (reply && reply->__isset.heartbeat_reply)
-                    OnBeatReply(reply->heartbeat_reply, now);
+                    OnHeartbeatReply(reply->heartbeat_reply, now);
                   else if (!reply && Leader().last_message_time() > now)
-                    m_beat_due = ReadClock();  // It has sent something since: a late answer only.
+                    m_heartbeat_due = ReadClock();  // The leader is alive; only this reply is late.
                   else
                     OnLeaderError(reply);
                 });
 }
 
-void InstanceAgent::OnBeatReply(const wire::HeartbeatReply& reply, Instant sent) {
-  m_contact = std::max(m_contact, sent);
+void InstanceAgent::OnHeartbeatReply(const wire::HeartbeatReply& reply, Instant sent) {
+  m_last_contact = std::max(m_last_contact, sent);
   m_leader_version = std::max(m_leader_version, reply.version);
   if (m_settings.m_hosted) {
-    OnHostedBeat(reply, sent);
+    OnHostedHeartbeatReply(reply, sent);
     return;
   }
   if (!reply.leases_same) {
     m_leases = reply.leases;
     m_leases_seen = reply.leases_index;
   }
-  TakeLeases(reply.live, sent);
+  ApplyLeases(reply.live, sent);
 }
 
-/// Turns to the member that is named as leader, or to the next one.
+/// Switches to the member that the response names as leader, or to the next one.
 void InstanceAgent::OnLeaderError(const Result<wire::Body>& reply) {
-  ++m_beats_lost;
-  if (m_broker_told && m_forwarder.m_send)
+  ++m_leader_calls_failed;
+  if (m_broker_announced && m_forwarder.m_send)
     m_forwarder.m_send(BrokerDisconnected{});
-  m_broker_told = false;
+  m_broker_announced = false;
   const bool named = reply && reply->__isset.error && reply->error.leader_port != 0;
   std::size_t next = (m_leader + 1) % m_members.size();
   if (named)
-    next = ContactAt(
+    next = FindOrAddMember(
         {reply->error.leader_address, static_cast<std::uint16_t>(reply->error.leader_port)});
   m_leader = next;
-  m_beat_due = std::min(m_beat_due, ReadClock() + kProposeBackoff);
+  m_heartbeat_due = std::min(m_heartbeat_due, ReadClock() + kProposeBackoff);
 }
 
-void InstanceAgent::TakeLeases(int live, Instant sent) {
+void InstanceAgent::ApplyLeases(int live, Instant sent) {
   const Instant now = ReadClock();
   for (const wire::LeaseGrant& lease : m_leases) {
     const bool ours = lease.holder == m_incarnation;
@@ -178,18 +178,19 @@
     } else {
       m_brokers.OnLeaseLost(lease.lease);
     }
-    BrokerLine& line = m_lines[lease.lease];
-    if (line.m_client && line.m_lease.epoch >= lease.epoch)
+    BrokerConnection& connection = m_broker_connections[lease.lease];
+    if (connection.m_client && connection.m_lease.epoch >= lease.epoch)
       continue;
-    line.m_lease = lease;
-    line.m_sent.clear();
-    line.m_client =
+    connection.m_lease = lease;
+    connection.m_sent.clear();
+    connection.m_client =
         std::make_unique<PeerClient>(m_loop, lease.address, static_cast<std::uint16_t>(lease.port));
-    line.m_client->SetOnPush([this](wire::Body body) {
+    connection.m_client->SetOnPush([this](wire::Body body) {
       if (body.__isset.grants)
         OnGrants(body.grants);
     });
-    line.m_client->SetOnLost([this, pool = lease.lease] { m_to_gateway(BrokerReconnected{pool}); });
+    connection.m_client->SetOnLost(
+        [this, pool = lease.lease] { m_to_gateway(BrokerReconnected{pool}); });
     m_to_gateway(BrokerReconnected{lease.lease});
   }
 }
@@ -216,22 +217,22 @@
   m_poll_after = ReadClock() + kPollBackoff;
 }
 
-void InstanceAgent::AvoidSource(std::size_t member, Instant now) {
-  m_sources[member].m_ejected_until = now + kAvoidSource;
+void InstanceAgent::ExcludeSource(std::size_t member, Instant now) {
+  m_sources[member].m_ejected_until = now + kSourceExclusion;
 }
 
 void InstanceAgent::OnDelta(const wire::ConfigDelta& delta) {
   if (delta.to_version < m_version) {
-    // A member that lags behind us is no source; ask another.
+    // The member lags behind this instance, so another one is polled.
     PollNext();
     return;
   }
-  const Instant begun = ReadClock();
+  const Instant started = ReadClock();
   if (!ApplyDelta(m_declarations, m_version, delta))
     return;
   Result<Catalogue> catalogue = BuildCatalogue(m_declarations, m_version);
   if (!catalogue) {
-    // Members accept only what compiles, so this is a fault of this program.
+    // Members accept only configurations that compile, so this is a defect of the program.
     POPPYWAY_LOG(error, "configuration_unusable").Field("why", catalogue.error().m_message);
     return;
   }
@@ -239,10 +240,12 @@
   m_brokers.OnCatalogue(shared);
   m_to_gateway(CatalogueUpdate{shared});
   POPPYWAY_LOG(info, "configuration_in_force").Field("version", m_version);
-  Beat(ReadClock());  // The leader learns at once what is in force here.
-  // Adopting changes takes at most a hundredth of the time, however fast they come.
+  SendHeartbeat(ReadClock());  // The heartbeat reports the version in force to the leader at once.
+  // The pause limits applying changes to about a hundredth of the time, however fast they arrive,
+  // unless the maximum pause cuts it short.
   const Instant now = ReadClock();
-  m_poll_after = now + std::min<Duration>(kAdoptionRest * (now - begun).count(), kMaxAdoptionRest);
+  m_poll_after =
+      now + std::min<Duration>(kApplyPauseFactor * (now - started).count(), kMaxApplyPause);
 }
 
 void InstanceAgent::HandleMessage(GatewayMessage message) {
@@ -252,7 +255,7 @@
     QueuedCommand queued;
     queued.m_command.__set_claim(claim->m_claim);
     queued.m_ref = claim->m_ref;
-    queued.m_asked = now;
+    queued.m_queued_at = now;
     queued.m_deadline = claim->m_deadline;
     queued.m_expires = ClaimExpiry(*claim, now);
     if (m_commands.size() >= kMaxCommands)
@@ -263,7 +266,7 @@
   } else if (auto* finish = std::get_if<FinishKey>(&message)) {
     QueuedCommand queued;
     queued.m_command.__set_finish(std::move(finish->m_finish));
-    queued.m_expires = now + kFinishLimit;
+    queued.m_expires = now + kFinishTimeout;
     m_commands.push_back(std::move(queued));
     FlushCommands();
   } else if (auto* demand = std::get_if<SendDemand>(&message)) {
@@ -281,7 +284,7 @@
     while (!m_commands.empty() && sent.size() < kMaxBatch) {
       propose.commands.push_back(m_commands.front().m_command);
       sent.push_back(std::move(m_commands.front()));
-      ++sent.back().m_tries;
+      ++sent.back().m_attempts;
       m_commands.pop_front();
     }
     wire::Body body;
@@ -309,7 +312,7 @@
     }
     return;
   }
-  // Every command may be repeated: claims by owner and ref, finishes by their content.
+  // Every command may be sent again: owner and ref identify a claim, its content a finish.
   for (auto it = sent.rbegin(); it != sent.rend(); ++it)
     m_commands.push_front(std::move(*it));
   m_propose_after = ReadClock() + kProposeBackoff;
@@ -323,9 +326,9 @@
 void InstanceAgent::LogClaim(const char* event, const QueuedCommand& command) {
   const Instant now = ReadClock();
   POPPYWAY_LOG(info, event)
-      .Field("waited_ms", (now - command.m_asked).count() / 1000)
+      .Field("waited_ms", (now - command.m_queued_at).count() / 1000)
       .Field("left_ms", (command.m_deadline - now).count() / 1000)
-      .Field("tries", command.m_tries);
+      .Field("tries", command.m_attempts);
 }
 
 void InstanceAgent::GiveUp(const QueuedCommand& command) {
@@ -336,10 +339,10 @@
   wire::ClaimResult unavailable;
   unavailable.verdict = wire::ClaimVerdict::UNAVAILABLE;
   Answer(command.m_ref, unavailable);
-  // The claim may still be committed: it must not hold the key.
+  // The claim may still be committed, and must not hold the key then.
   QueuedCommand release;
-  release.m_command.__set_finish(ReleaseOf(command.m_command.claim));
-  release.m_expires = ReadClock() + kFinishLimit;
+  release.m_command.__set_finish(MakeRelease(command.m_command.claim));
+  release.m_expires = ReadClock() + kFinishTimeout;
   m_commands.push_back(std::move(release));
 }
 
@@ -358,40 +361,42 @@
 }
 
 void InstanceAgent::OnDemand(const SendDemand& message) {
-  const auto found = m_lines.find(message.m_pool);
+  const auto found = m_broker_connections.find(message.m_pool);
   const Instant now = ReadClock();
-  if (found == m_lines.end()) {
-    // No broker is known yet. Uses of credits matter to none; the rest is sent again.
+  if (found == m_broker_connections.end()) {
+    // No broker is known yet. No broker needs the credit uses; the rest is sent again.
     m_to_gateway(BrokerReconnected{message.m_pool});
     return;
   }
-  BrokerLine& line = found->second;
-  const std::int64_t sequence = ++line.m_sequence;
-  line.m_sent[sequence] = now;
-  if (line.m_sent.size() > kMaxSequences)
-    line.m_sent.erase(line.m_sent.begin());
+  BrokerConnection& connection = found->second;
+  const std::int64_t sequence = ++connection.m_sequence;
+  connection.m_sent[sequence] = now;
+  if (connection.m_sent.size() > kMaxSequences)
+    connection.m_sent.erase(connection.m_sent.begin());
   wire::Body body;
-  body.__set_demand(ToWire(message.m_pool, message.m_demand, line.m_lease.epoch, sequence, now));
-  line.m_client->Notify(std::move(body));
+  body.__set_demand(
+      ToWire(message.m_pool, message.m_demand, connection.m_lease.epoch, sequence, now));
+  connection.m_client->Notify(std::move(body));
 }
 
 void InstanceAgent::OnGrants(const wire::Grants& grants) {
-  const auto found = m_lines.find(grants.pool);
-  const bool current = found != m_lines.end() && found->second.m_lease.epoch == grants.epoch;
+  const auto found = m_broker_connections.find(grants.pool);
+  const bool current =
+      found != m_broker_connections.end() && found->second.m_lease.epoch == grants.epoch;
   if (!current)
     return;
   if (grants.not_broker) {
     m_to_gateway(BrokerReconnected{grants.pool});
     return;
   }
-  BrokerLine& line = found->second;
+  BrokerConnection& connection = found->second;
   GrantsReceived message;
   message.m_pool = grants.pool;
   message.m_batch = FromWire(grants);
-  const auto sent = line.m_sent.find(grants.sequence);
-  if (sent != line.m_sent.end()) {
+  const auto sent = connection.m_sent.find(grants.sequence);
+  if (sent != connection.m_sent.end()) {
     message.m_lease_end = sent->second + std::chrono::milliseconds(grants.lease_ms);
-    line.m_sent.erase(line.m_sent.begin(), sent);
+    connection.m_sent.erase(connection.m_sent.begin(), sent);
   }
   m_to_gateway(std::move(message));
 }
@@ -400,8 +405,8 @@
   if (m_stopping)
     return;
   m_stopping = true;
-  m_brokers.DropAll();  // Before the leader may give the leases to another.
-  Beat(ReadClock());
+  m_brokers.StopAll();  // The leader may grant the leases to others after the heartbeat below.
+  SendHeartbeat(ReadClock());
   m_to_gateway(ControlMessage(poppyway::BeginShutdown{}));
 }
 
@@ -411,10 +416,10 @@
 
 void InstanceAgent::Forward(const wire::Body& body, const std::function<void(wire::Body)>& reply) {
   Leader().Call(body, kForwardTimeout, [this, reply](Result<wire::Body> answer) {
-    const bool misled =
+    const bool wrong_leader =
         !answer || (answer->__isset.error &&
                     answer->error.code == static_cast<std::int32_t>(ResultCode::kNotLeader));
-    if (misled)
+    if (wrong_leader)
       OnLeaderError(answer);
     if (!answer)
       reply(ErrorBody(ResultCode::kNoMajority,
@@ -428,8 +433,8 @@
   std::uint64_t bytes = 0;
   for (const auto& member : m_members)
     bytes += member->bytes_sent();
-  for (const auto& [pool, line] : m_lines)
-    bytes += line.m_client ? line.m_client->bytes_sent() : 0;
+  for (const auto& [pool, connection] : m_broker_connections)
+    bytes += connection.m_client ? connection.m_client->bytes_sent() : 0;
   return bytes;
 }
 
@@ -445,7 +450,7 @@
   metrics.Set("poppyway_fresh", "", m_fresh ? 1 : 0);
   metrics.Set("poppyway_ledger_claims", "", static_cast<double>(m_claims));
   metrics.Set("poppyway_ledger_claims_unavailable", "", static_cast<double>(m_claims_unavailable));
-  metrics.Set("poppyway_leader_calls_failed", "", static_cast<double>(m_beats_lost));
+  metrics.Set("poppyway_leader_calls_failed", "", static_cast<double>(m_leader_calls_failed));
   metrics.Set("poppyway_commands_waiting", "", static_cast<double>(m_commands.size()));
   metrics.Set("poppyway_control_bytes_sent", "", static_cast<double>(bytes_sent()));
 }
--- a/apps/poppywayd/instance_agent.h
+++ b/apps/poppywayd/instance_agent.h
@@ -19,87 +19,102 @@
 
 namespace poppyway {
 
-/// \brief What every instance does towards the members and the brokers: heartbeats, configuration,
-/// ledger claims, demands. Belongs to the control task.
+/// \brief Client of the members and the brokers on every instance: it sends heartbeats, polls the
+/// configuration, proposes ledger commands and sends demands. Not thread-safe: it belongs to the
+/// control task.
 class InstanceAgent {
  public:
+  /// `loop` and `brokers` must outlive the agent.
+  /// \param to_gateway sends a message to the gateway task.
   InstanceAgent(EventLoop& loop,
                 const DaemonSettings& settings,
                 std::string incarnation,
                 BrokerService& brokers,
                 std::function<void(ControlMessage)> to_gateway);
 
-  /// Hosted: news goes to the forwarder instead of the gateway.
+  /// Sends updates to the forwarder instead of the gateway. Hosted deployments only.
   void SetForwarder(ForwarderPort port) { m_forwarder = std::move(port); }
-  /// Hosted: how the forwarder reaches the broker of places.
+  /// Returns the port over which the forwarder reaches the slot broker. Hosted deployments only.
   [[nodiscard]] BrokerPort MakeSlotBrokerPort();
+  /// Adds addresses at which members can be reached.
   void AddSeeds(const std::vector<MemberSettings>& seeds);
+  /// Sends heartbeats, polls and ledger commands that are due.
   void Tick(Instant now);
+  /// Handles a message of the gateway task.
   void HandleMessage(GatewayMessage message);
-  /// Stops acting as broker, tells the leader, drains the gateway.
+  /// Stops the brokers of this instance, notifies the leader and drains the gateway. A repeated
+  /// call has no effect.
   void BeginShutdown();
-  /// True once the gateway has drained and the ledger knows all that it has to know.
+  /// Returns true once the gateway has drained and no ledger command is queued or in flight.
   [[nodiscard]] bool ShutdownComplete() const;
-  /// Passes an operator's request on to the leader.
+  /// Forwards an operator's request to the leader and passes its response to `reply`, or
+  /// `kNoMajority` if the leader doesn't respond.
   void Forward(const wire::Body& body, const std::function<void(wire::Body)>& reply);
   [[nodiscard]] std::int64_t version() const noexcept { return m_version; }
-  /// True while commands for the ledger wait.
+  /// Returns true while commands for the ledger wait to be sent.
   [[nodiscard]] bool HasPendingWork() const { return !m_commands.empty(); }
   void AddMetrics(MetricSet& metrics) const;
   [[nodiscard]] SendQueueStats queue_stats() const;
-  /// To members and brokers.
+  /// Returns the bytes sent to members and brokers.
   [[nodiscard]] std::uint64_t bytes_sent() const;
 
  private:
   struct QueuedCommand {
     wire::Command m_command;
-    RequestRef m_ref = 0;  ///< Of the exchange that waits for a claim; zero for a finish.
-    Instant m_asked{};
-    Instant m_deadline{};  ///< Of the request.
+    RequestRef m_ref = 0;  ///< The request that waits for the claim; zero for a finish.
+    Instant m_queued_at{};
+    Instant m_deadline{};  ///< Deadline of the request.
     Instant m_expires{};
-    int m_tries = 0;  ///< Times that it was sent to a leader.
+    int m_attempts = 0;  ///< Number of times that the command was sent to a leader.
   };
-  struct BrokerLine {
+  /// The lease of a pool's broker and the connection to its holder.
+  struct BrokerConnection {
     wire::LeaseGrant m_lease;
     std::unique_ptr<PeerClient> m_client;
     std::int64_t m_sequence = 0;
-    std::map<std::int64_t, Instant> m_sent;  ///< When each demand went out, by sequence.
+    std::map<std::int64_t, Instant> m_sent;  ///< Send time of each demand, by sequence number.
   };
 
-  void Beat(Instant now);
-  void OnBeatReply(const wire::HeartbeatReply& reply, Instant sent);
+  void SendHeartbeat(Instant now);
+  void OnHeartbeatReply(const wire::HeartbeatReply& reply, Instant sent);
   void OnLeaderError(const Result<wire::Body>& reply);
-  void TakeLeases(int live, Instant sent);
+  void ApplyLeases(int live, Instant sent);
   void Poll();
   void OnDelta(const wire::ConfigDelta& delta);
-  /// Hosted: takes the members, what the leader confirms, and the load of the other instances.
-  void OnHostedBeat(const wire::HeartbeatReply& reply, Instant sent);
-  /// Hosted: how news is read, and where it goes.
+  /// Takes over the members, the leader's versions and term, and the count of live instances.
+  /// Hosted deployments only.
+  void OnHostedHeartbeatReply(const wire::HeartbeatReply& reply, Instant sent);
+  /// Returns the poller's callbacks, which send its polls and pass updates to the forwarder. Hosted
+  /// deployments only.
   [[nodiscard]] PollerCallbacks MakePollerCallbacks();
-  /// Turns to the leader that a member has named in a later term.
+  /// Switches to the leader that a member names, if the leader's term is later than the known one.
   void OnLeaderNamed(const wire::ConfigDelta& delta);
-  /// A message that answers no call, or the loss of the connection, from the member at `index`.
+  /// Handles a message of the member at `index` that is no response to a request.
   void OnPush(std::size_t index, const wire::Body& body);
-  void OnMemberLost(std::size_t index);
-  /// The broker doesn't answer or doesn't know this instance: it is told anew.
-  void FindBrokerAnew();
-  /// Tells the forwarder until when its document may be acted on.
+  /// Handles the loss of the connection to the member at `index`.
+  void OnMemberDisconnected(std::size_t index);
+  /// Reports the broker as disconnected to the forwarder and sends a heartbeat at the next tick,
+  /// whose response names the broker. For a broker that doesn't respond or doesn't know this
+  /// instance.
+  void RediscoverBroker();
+  /// Tells the forwarder until when its document is confirmed.
   void PublishConfirmation();
-  /// Takes the members that a leader lists, with their data centres.
-  void TakeMembers(const std::vector<wire::MemberInfo>& members);
-  /// Hosted: the member to poll next.
-  [[nodiscard]] std::size_t NearestSource(Instant now) const;
-  /// A member lags or doesn't answer: others are read for a while.
-  void AvoidSource(std::size_t member, Instant now);
-  /// The member that is polled lags or doesn't answer: the next one is asked.
+  /// Adds the members that a leader lists, with their data centres.
+  void UpdateMembers(const std::vector<wire::MemberInfo>& members);
+  /// Returns the index of the member to poll next. Hosted deployments only.
+  [[nodiscard]] std::size_t ChooseSource(Instant now) const;
+  /// Excludes a member that lags or doesn't respond from polling for a while.
+  void ExcludeSource(std::size_t member, Instant now);
+  /// Switches polling to the next member, since the current one lags or doesn't respond.
   void PollNext();
-  /// Index of the contact at this place, added if it is new.
-  [[nodiscard]] std::size_t ContactAt(const Endpoint& place);
+  /// Returns the index of the member at this endpoint, and adds the member if it is new.
+  [[nodiscard]] std::size_t FindOrAddMember(const Endpoint& endpoint);
   void FlushCommands();
   void OnProposed(std::vector<QueuedCommand> sent, const Result<wire::Body>& reply);
+  /// Replies to an expired claim that the ledger is unavailable, and queues the key's release.
   void GiveUp(const QueuedCommand& command);
   void Answer(RequestRef ref, const wire::ClaimResult& result);
-  /// One line on a claim that got neither a grant nor an earlier answer.
+  /// Logs a claim that got neither a grant nor a stored response.
   static void LogClaim(const char* event, const QueuedCommand& command);
   void ExpireCommands(Instant now);
   void OnDemand(const SendDemand& message);
@@ -113,39 +128,39 @@
   std::function<void(ControlMessage)> m_to_gateway;
   ForwarderPort m_forwarder;
   std::vector<std::unique_ptr<PeerClient>> m_members;
-  std::vector<Endpoint> m_places;     ///< Of `m_members`.
-  std::vector<PollSource> m_sources;  ///< Of `m_members`.
-  std::int64_t m_members_digest = 0;  ///< Of the members as a leader last listed them.
-  std::size_t m_leader = 0;           ///< Index of the member believed to lead.
-  std::size_t m_poll_member = 0;      ///< Index of the member that is polled.
+  std::vector<Endpoint> m_member_endpoints;  ///< Endpoint of each of `m_members`.
+  std::vector<PollSource> m_sources;         ///< Poll source of each of `m_members`.
+  std::int64_t m_members_digest = 0;         ///< Digest of the members that a leader last listed.
+  std::size_t m_leader = 0;                  ///< Index of the presumed leader.
+  std::size_t m_poll_member = 0;             ///< Index of the member that is polled.
   bool m_polling = false;
-  std::unique_ptr<HostedStatePoller> m_poller;  ///< Null: not hosted.
-  std::int64_t m_leader_document = 0;           ///< As the leader last said.
-  std::int64_t m_leader_servers = 0;
-  std::int64_t m_leader_term = 0;  ///< Of the latest leader that was named or answered.
-  bool m_broker_told = false;      ///< The forwarder knows of the broker at the leader.
-  Instant m_leader_asked{};        ///< When the heartbeat that it answered was sent.
+  std::unique_ptr<HostedStatePoller> m_poller;  ///< Null unless the deployment is hosted.
+  std::int64_t m_leader_document = 0;   ///< Highest document version that a leader reported.
+  std::int64_t m_leader_servers = 0;    ///< Highest index of servers that a leader reported.
+  std::int64_t m_leader_term = 0;       ///< Term of the latest leader that was named or responded.
+  bool m_broker_announced = false;      ///< The forwarder uses the broker at the leader.
+  Instant m_answered_heartbeat_sent{};  ///< Send time of the last heartbeat that a leader answered.
   Instant m_published_until{};
   Instant m_poll_after{};
-  Instant m_beat_due{};
-  int m_beats_out = 0;
-  Instant m_contact{};                ///< When the last answered heartbeat was sent.
-  std::int64_t m_leader_version = 0;  ///< As a leader last said.
-  bool m_caught_up = false;           ///< That version, or a later one, has been in force here.
+  Instant m_heartbeat_due{};
+  int m_heartbeats_out = 0;
+  Instant m_last_contact{};           ///< Send time of the last answered heartbeat.
+  std::int64_t m_leader_version = 0;  ///< Highest configuration version that a leader reported.
+  bool m_caught_up = false;           ///< That version or a later one has been in force here.
   bool m_fresh = false;
   bool m_stopping = false;
   bool m_drained = false;
   std::int64_t m_version = 0;
   ParsedDeclarations m_declarations;
-  std::vector<wire::LeaseGrant> m_leases;  ///< As the leader last listed them.
+  std::vector<wire::LeaseGrant> m_leases;  ///< Leases that the leader last listed.
   std::int64_t m_leases_seen = 0;          ///< Log index of that list.
   std::deque<QueuedCommand> m_commands;
   int m_proposals_out = 0;
   Instant m_propose_after{};
-  std::map<std::string, BrokerLine> m_lines;  ///< By pool.
+  std::map<std::string, BrokerConnection> m_broker_connections;  ///< By pool.
   std::uint64_t m_claims = 0;
   std::uint64_t m_claims_unavailable = 0;
-  std::uint64_t m_beats_lost = 0;
+  std::uint64_t m_leader_calls_failed = 0;
 };
 
 }  // namespace poppyway
--- a/apps/poppywayd/instance_hosted.cc
+++ b/apps/poppywayd/instance_hosted.cc
@@ -1,51 +1,52 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What an instance does in hosted deployments only: the operator's document, backend servers that
-// register themselves, the broker of places.
+// The parts of the instance agent that only hosted deployments use: updates of the operator's
+// document and of self-registered backend servers, and the connection to the slot broker.
 
 #include "instance_agent.h"
 #include "slot_convert.h"
 
 namespace poppyway {
-void InstanceAgent::OnHostedBeat(const wire::HeartbeatReply& reply, Instant sent) {
+void InstanceAgent::OnHostedHeartbeatReply(const wire::HeartbeatReply& reply, Instant sent) {
   if (!reply.members.empty()) {
-    TakeMembers(reply.members);
+    UpdateMembers(reply.members);
     m_members_digest = reply.members_digest;
   }
   m_leader_document = std::max(m_leader_document, reply.document_version);
   m_leader_servers = std::max(m_leader_servers, reply.servers_index);
-  m_leader_asked = std::max(m_leader_asked, sent);
+  m_answered_heartbeat_sent = std::max(m_answered_heartbeat_sent, sent);
   PublishConfirmation();
   m_forwarder.m_send(LiveInstanceCount{std::max(1, reply.live)});
-  const bool new_broker = !m_broker_told || reply.leader_term > m_leader_term;
+  const bool new_broker = !m_broker_announced || reply.leader_term > m_leader_term;
   m_leader_term = std::max(m_leader_term, reply.leader_term);
   m_poller->SetLeaderTerm(m_leader_term);
   if (new_broker && reply.leader_term == m_leader_term) {
-    m_broker_told = true;
+    m_broker_announced = true;
     m_forwarder.m_send(BrokerConnected{reply.leader_term});
   }
 }
 
-void InstanceAgent::TakeMembers(const std::vector<wire::MemberInfo>& members) {
+void InstanceAgent::UpdateMembers(const std::vector<wire::MemberInfo>& members) {
   for (const wire::MemberInfo& member : members) {
-    const std::size_t index = ContactAt({member.address, static_cast<std::uint16_t>(member.port)});
+    const std::size_t index =
+        FindOrAddMember({member.address, static_cast<std::uint16_t>(member.port)});
     m_sources[index].m_data_centre = member.data_centre;
   }
 }
 
-std::size_t InstanceAgent::NearestSource(Instant now) const {
+std::size_t InstanceAgent::ChooseSource(Instant now) const {
   const PollerLocation here{m_settings.m_data_centre, m_settings.m_region};
   return ChoosePollSource(m_sources, m_settings.m_regions, here, Hash(m_incarnation), now);
 }
 
 void InstanceAgent::PublishConfirmation() {
-  // A member's news may come before any leader has answered; only a leader confirms.
-  const bool asked = m_leader_asked != Instant{};
+  // A member's update may arrive before a leader's first response; only a leader confirms.
+  const bool confirmed = m_answered_heartbeat_sent != Instant{};
   const std::int64_t version = m_poller->document_version();
-  if (!asked || version == 0 || version < m_leader_document)
+  if (!confirmed || version == 0 || version < m_leader_document)
     return;
   const Instant until =
-      m_leader_asked + std::chrono::milliseconds(m_settings.m_confirmation_ttl_ms);
+      m_answered_heartbeat_sent + std::chrono::milliseconds(m_settings.m_confirmation_ttl_ms);
   if (until <= m_published_until)
     return;
   m_published_until = until;
@@ -61,8 +62,8 @@
   port.m_last_receive_time = [this](std::size_t member) {
     return m_members[member]->last_receive_time();
   };
-  port.m_choose_member = [this](Instant now) { return NearestSource(now); };
-  port.m_avoid = [this](std::size_t member, Instant now) { AvoidSource(member, now); };
+  port.m_choose_member = [this](Instant now) { return ChooseSource(now); };
+  port.m_avoid = [this](std::size_t member, Instant now) { ExcludeSource(member, now); };
   port.m_leader = [this] { return m_leader; };
   port.m_on_leader = [this](const wire::ConfigDelta& delta) { OnLeaderNamed(delta); };
   port.m_on_servers = [this](const wire::ConfigDelta& delta) {
@@ -82,16 +83,16 @@
     return;
   m_leader_term = delta.leader_term;
   m_poller->SetLeaderTerm(m_leader_term);
-  m_leader = ContactAt({delta.leader_address, static_cast<std::uint16_t>(delta.leader_port)});
+  m_leader = FindOrAddMember({delta.leader_address, static_cast<std::uint16_t>(delta.leader_port)});
   POPPYWAY_LOG(info, "leader_named").Field("term", m_leader_term).Field("port", delta.leader_port);
-  FindBrokerAnew();
+  RediscoverBroker();
 }
 
 void InstanceAgent::OnPush(std::size_t index, const wire::Body& body) {
   if (index != m_leader || !body.__isset.place_answers)
     return;
   if (body.place_answers.not_broker) {
-    FindBrokerAnew();
+    RediscoverBroker();
     return;
   }
   SlotResponses message;
@@ -103,16 +104,16 @@
   m_forwarder.m_send(std::move(message));
 }
 
-void InstanceAgent::OnMemberLost(std::size_t index) {
-  if (index == m_leader && m_broker_told)
-    FindBrokerAnew();
+void InstanceAgent::OnMemberDisconnected(std::size_t index) {
+  if (index == m_leader && m_broker_announced)
+    RediscoverBroker();
 }
 
-void InstanceAgent::FindBrokerAnew() {
-  if (m_broker_told)
+void InstanceAgent::RediscoverBroker() {
+  if (m_broker_announced)
     m_forwarder.m_send(BrokerDisconnected{});
-  m_broker_told = false;
-  m_beat_due = std::min(m_beat_due, ReadClock());
+  m_broker_announced = false;
+  m_heartbeat_due = std::min(m_heartbeat_due, ReadClock());
 }
 
 BrokerPort InstanceAgent::MakeSlotBrokerPort() {
@@ -122,7 +123,7 @@
     body.__set_place_batch(ToWire(batch, m_incarnation, m_settings.m_data_centre));
     Leader().Notify(std::move(body));
   };
-  port.m_on_unresponsive = [this] { FindBrokerAnew(); };
+  port.m_on_unresponsive = [this] { RediscoverBroker(); };
   return port;
 }
 
--- a/apps/poppywayd/leaving_server_poller.cc
+++ b/apps/poppywayd/leaving_server_poller.cc
@@ -40,14 +40,14 @@
   events.m_may_send = [] { return true; };
   events.m_on_head = [](const UpstreamHead&) {};
   events.m_on_data = [this](std::string_view bytes) { m_body += bytes; };
-  events.m_on_complete = [this] { Take(m_body); };
+  events.m_on_complete = [this] { ApplyList(m_body); };
   events.m_on_failure = [this](bool, const std::string&) { ++m_failures; };
   const std::string request =
       "GET " + m_path + " HTTP/1.1\r\nhost: " + ToText(m_endpoint) + "\r\n\r\n";
   m_call = std::make_unique<Upstream>(*m_pools, m_endpoint, request, false, std::move(events));
 }
 
-void LeavingServerPoller::Take(const std::string& body) {
+void LeavingServerPoller::ApplyList(const std::string& body) {
   const nlohmann::json parsed = nlohmann::json::parse(body, nullptr, /*allow_exceptions=*/false);
   const bool readable =
       parsed.is_object() && parsed.contains("leaving") && parsed["leaving"].is_array();
--- a/apps/poppywayd/log_writer.cc
+++ b/apps/poppywayd/log_writer.cc
@@ -37,10 +37,10 @@
 void LogWriter::Run() {
   while (std::optional<LogSave> save = Next()) {
     SaveOutcome outcome;
-    const Instant begun = ReadClock();
+    const Instant started = ReadClock();
     outcome.m_result = save->m_compacted ? m_store->SaveSnapshot(save->m_node, *save->m_compacted)
                                          : m_store->Save(save->m_node, save->m_effects);
-    outcome.m_took = ReadClock() - begun;
+    outcome.m_took = ReadClock() - started;
     outcome.m_save = std::move(*save);
     m_outcomes.Send(std::move(outcome));
   }
--- a/apps/poppywayd/main.cc
+++ b/apps/poppywayd/main.cc
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// The daemon: reads its settings, starts the control task and the gateway task, stops on SIGTERM.
+// The daemon reads its settings, starts the control task and the gateway task and stops on SIGTERM
+// or SIGINT.
 
 #include <csignal>
 #include <cstdlib>
@@ -21,15 +22,15 @@
 constexpr int kUsageExit = 64;
 constexpr int kStartFailedExit = 70;
 
-ControlTask* g_control = nullptr;  // For the signal handler only.
+ControlTask* g_control = nullptr;  // Only the signal handler reads it.
 
 void OnStopSignal(int) {
   if (g_control != nullptr)
     g_control->RequestStop();
 }
 
-/// The gateway task: its loop and everything on it are made, used and destroyed on its own thread,
-/// since the HTTP library keeps buffers by thread.
+/// Runs the gateway task. Its loop and everything on the loop are created, used and destroyed on
+/// its own thread, since the HTTP library keeps buffers per thread.
 class GatewayThread {
  public:
   GatewayThread(const DaemonSettings& settings,
--- a/apps/poppywayd/member_disk.cc
+++ b/apps/poppywayd/member_disk.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What a member does with its disk: one save at a time for all that gathered meanwhile, snapshots,
-// a disk without room.
+// Disk access of a member: saves, one at a time, each of all effects that arrived during the
+// previous one; snapshots; handling of a full disk.
 
 #include <cstdlib>
 #include <utility>
@@ -11,28 +11,28 @@
 namespace poppyway {
 namespace {
 
-constexpr Duration kDiskRetryInterval{100'000};  // One small write, until there is room.
+constexpr Duration kDiskRetryInterval{100'000};  // Each retry on a full disk is one small write.
 constexpr int kDiskFailedExit = 74;
 
 }  // namespace
 
 void MemberService::FatalDisk(const Error& why) {
   POPPYWAY_LOG(fatal, "disk_failed").Field("why", why.m_message);
-  // What was not synced was not acknowledged; going on could acknowledge what is lost.
+  // Nothing was acknowledged that isn't synced; to continue could acknowledge lost entries.
   std::_Exit(kDiskFailedExit);
 }
 
-void MemberService::HoldBack(LogEffects&& effects, const Error& why) {
+void MemberService::OnDiskFull(LogEffects&& effects, const Error& why) {
   if (m_disk_full_since == Instant{}) {
     m_disk_full_since = ReadClock();
     POPPYWAY_LOG(error, "disk_full").Field("why", why.m_message);
   }
-  PutBack(std::move(effects));
+  RequeueEffects(std::move(effects));
   m_disk_full = true;
   m_disk_retry = ReadClock() + kDiskRetryInterval;
 }
 
-void MemberService::PutBack(LogEffects&& effects) {
+void MemberService::RequeueEffects(LogEffects&& effects) {
   MergeEffects(effects, std::move(m_unsaved));
   m_unsaved = std::move(effects);
 }
@@ -41,12 +41,12 @@
   if (!m_disk_full || now < m_disk_retry)
     return;
   m_disk_retry = now + kDiskRetryInterval;
-  const std::vector<wire::LogEntry> committed = Perform();
+  const std::vector<wire::LogEntry> committed = ProcessEffects();
   StartSave();
   Apply(committed);
 }
 
-void MemberService::DiskHasRoom() {
+void MemberService::OnDiskSpaceAvailable() {
   m_disk_full = false;
   POPPYWAY_LOG(info, "disk_has_room")
       .Field("last_index", LastIndex(m_node))
@@ -59,32 +59,32 @@
   if (m_disk_full)
     return;
   const bool led = is_leader();
-  const std::vector<wire::LogEntry> committed = Perform();
+  const std::vector<wire::LogEntry> committed = ProcessEffects();
   StartSave();
   Apply(committed);
   if (!led && !m_pending.empty() && !is_leader())
     FailPending("leadership was lost");
 }
 
-std::vector<wire::LogEntry> MemberService::Perform() {
+std::vector<wire::LogEntry> MemberService::ProcessEffects() {
   LogEffects effects = std::exchange(m_effects, {});
   if (effects.m_install) {
     if (Result<void> loaded = RestoreStateMachine(m_machine, *effects.m_install); !loaded)
       FatalDisk(loaded.error());
     OnStateReplaced();
   }
-  SendOrHold(std::exchange(effects.m_send, {}));
+  SendOrDefer(std::exchange(effects.m_send, {}));
   std::vector<wire::LogEntry> committed = std::exchange(effects.m_committed, {});
   MergeEffects(m_unsaved, std::move(effects));
   return committed;
 }
 
-void MemberService::SendOrHold(std::vector<wire::LogMessage> messages) {
+void MemberService::SendOrDefer(std::vector<wire::LogMessage> messages) {
   for (wire::LogMessage& message : messages) {
     if (!m_disk_full && IsSafeToSend(m_node, message))
       SendTo(message);
     else
-      DeferMessage(m_held, std::move(message));
+      DeferMessage(m_deferred, std::move(message));
   }
 }
 
@@ -97,7 +97,7 @@
         CompactLog(m_node, m_machine.m_applied_index, SerializeStateMachine(m_machine));
   else if (!m_unsaved.NeedsSync())
     return;
-  // A segment that begins anew holds the whole log, also what isn't saved yet.
+  // A new segment holds the whole log, including entries that aren't saved yet.
   save.m_node = CopyDurableState(m_node, save.m_compacted || m_unsaved.m_install);
   save.m_effects = std::exchange(m_unsaved, {});
   BeginLogSave(m_node);
@@ -113,12 +113,12 @@
       FatalDisk(why);
     AbortLogSave(m_node);
     if (!save.m_compacted) {
-      HoldBack(std::move(save.m_effects), why);
+      OnDiskFull(std::move(save.m_effects), why);
       return;
     }
-    // The log in memory begins after the snapshot now; the one on the disk is whole without it.
+    // The log in memory now begins after the snapshot; the log on the disk is complete without it.
     POPPYWAY_LOG(warning, "snapshot_put_off").Field("why", why.m_message);
-    PutBack(std::move(save.m_effects));
+    RequeueEffects(std::move(save.m_effects));
     Flush();
     return;
   }
@@ -130,9 +130,9 @@
         .Field("bytes", save.m_compacted->state.size())
         .Field("took_ms", outcome.m_took.count() / 1000);
   if (m_disk_full)
-    DiskHasRoom();
+    OnDiskSpaceAvailable();
   MergeEffects(m_effects, FinishLogSave(m_node));
-  SendOrHold(std::exchange(m_held, {}));
+  SendOrDefer(std::exchange(m_deferred, {}));
   Flush();
 }
 
--- a/apps/poppywayd/member_document.cc
+++ b/apps/poppywayd/member_document.cc
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What a member does with the operator's document: takes it, passes it on, reads it back. Between
-// members it travels as steps from one version to the next, so that a change costs what it changes.
+// Handling of the operator's document at a member: submission, forwarding and reads. Members send
+// each other the changes from one version to the next, so that the cost of an update depends on the
+// size of the change, not of the document.
 
 #include <utility>
 
@@ -27,12 +28,13 @@
     reply(answer);
 }
 
-/// The newest document of those that a member's `steps` lead to from `held`, or why there is none.
-Result<wire::Document> Follow(const wire::Document& held, const wire::DocumentSteps& steps) {
+/// Applies the changes in `steps` to `held`. Returns the newest document, or why a change doesn't
+/// apply.
+Result<wire::Document> ApplySteps(const wire::Document& held, const wire::DocumentSteps& steps) {
   wire::Document document = held;
   for (const wire::DocumentChange& step : steps.steps) {
     if (step.version <= document.version)
-      continue;  // Applied here since the steps were asked for.
+      continue;  // This member has applied the change since it requested the steps.
     Result<wire::Document> next = PatchDocument(document, step);
     if (!next)
       return next;
@@ -49,16 +51,16 @@
     return;
   }
   if (!HoldsAllCommitted(m_node, m_machine.m_applied_index)) {
-    // A step from a document that an earlier leader has replaced would be refused.
-    AwaitState(reply, [this, document, reply] { SubmitDocument(document, reply); });
+    // A change to a document that an earlier leader has replaced would be rejected.
+    AwaitCommittedState(reply, [this, document, reply] { SubmitDocument(document, reply); });
     return;
   }
   if (document.version <= m_machine.m_hosted.m_document.version) {
-    // An older version goes through the log too: its acknowledgement must come from a leader that
-    // still is one, and the newest one must be safe by then.
+    // An older version takes a log entry too, since only a leader that still leads may acknowledge
+    // it, and only once the newest version is committed.
     wire::Command command;
     command.__set_noop(true);
-    Commit(std::move(command), reply);
+    CommitCommand(std::move(command), reply);
     return;
   }
   if (!m_proposed_document) {
@@ -69,7 +71,8 @@
     m_proposed_document->m_replies.push_back(reply);
     return;
   }
-  // Of those that wait the highest prevails; the others are acknowledged once it is committed.
+  // Of the waiting documents only the highest version is kept; the others are acknowledged once it
+  // is committed.
   if (!m_waiting_document)
     m_waiting_document.emplace();
   if (document.version > m_waiting_document->m_document.version)
@@ -77,19 +80,19 @@
   m_waiting_document->m_replies.push_back(reply);
 }
 
-void MemberService::AwaitState(const ReplyFn& reply, std::function<void()> act) {
+void MemberService::AwaitCommittedState(const ReplyFn& reply, std::function<void()> action) {
   wire::Command command;
   command.__set_noop(true);
-  Commit(std::move(command), [reply, act = std::move(act)](wire::Body answer) {
+  CommitCommand(std::move(command), [reply, action = std::move(action)](wire::Body answer) {
     if (answer.__isset.error)
       reply(std::move(answer));
     else
-      act();
+      action();
   });
 }
 
 void MemberService::ProposeDocument(DocumentOrder order) {
-  const Instant begun = ReadClock();
+  const Instant started = ReadClock();
   wire::DocumentChange change = DiffDocuments(m_machine.m_hosted.m_document, order.m_document);
   POPPYWAY_LOG(info, "document_proposed")
       .Field("base", change.base)
@@ -97,7 +100,7 @@
       .Field("bytes", order.m_document.body.size())
       .Field("step_bytes", change.bytes)
       .Field("orders", order.m_replies.size())
-      .Field("took_ms", (ReadClock() - begun).count() / 1000);
+      .Field("took_ms", (ReadClock() - started).count() / 1000);
   m_proposed_document = std::move(order);
   wire::Propose propose;
   propose.commands.emplace_back().__set_document_change(std::move(change));
@@ -112,7 +115,7 @@
     ReplyAll(order.m_replies, Done());
   else
     ReplyAll(order.m_replies,
-             ErrorBody(ResultCode::kVersionConflict, "another version was accepted meanwhile"));
+             ErrorBody(ResultCode::kVersionConflict, "another version was accepted first"));
   if (!m_waiting_document)
     return;
   const DocumentOrder waiting = std::exchange(m_waiting_document, std::nullopt).value();
@@ -133,10 +136,10 @@
   if (document.version > held.version)
     change = whole ? FullDocumentChange(document) : DiffDocuments(held, document);
   else
-    change.version = document.version;  // The leader holds one as high, and needs no more of it.
+    change.version = document.version;  // The leader holds this version or a newer one.
   wire::Body body;
   body.__set_document_change(std::move(change));
-  AskLeader(std::move(body), [this, document, whole, reply](const wire::Body& answer) {
+  CallLeader(std::move(body), [this, document, whole, reply](const wire::Body& answer) {
     if (IsConflict(answer) && !whole)
       ForwardDocument(document, true, reply);
     else
@@ -146,7 +149,7 @@
 
 void MemberService::SubmitDocumentChange(const wire::DocumentChange& change, const ReplyFn& reply) {
   if (is_leader() && !HoldsAllCommitted(m_node, m_machine.m_applied_index)) {
-    AwaitState(reply, [this, change, reply] { SubmitDocumentChange(change, reply); });
+    AwaitCommittedState(reply, [this, change, reply] { SubmitDocumentChange(change, reply); });
     return;
   }
   const wire::Document& held = m_machine.m_hosted.m_document;
@@ -165,7 +168,7 @@
 
 void MemberService::ReadDocument(const ReplyFn& reply) {
   if (is_leader()) {
-    if (!LeadsForSure(reply))
+    if (!RequireConfirmedLeader(reply))
       return;
     wire::Body body;
     body.__set_document(m_machine.m_hosted.m_document);
@@ -176,12 +179,13 @@
   read.have_version = m_machine.m_hosted.m_document.version;
   wire::Body body;
   body.__set_document_read(read);
-  AskLeader(std::move(body), [this, reply](const wire::Body& answer) {
+  CallLeader(std::move(body), [this, reply](const wire::Body& answer) {
     if (!answer.__isset.document_steps) {
       reply(answer);
       return;
     }
-    Result<wire::Document> document = Follow(m_machine.m_hosted.m_document, answer.document_steps);
+    Result<wire::Document> document =
+        ApplySteps(m_machine.m_hosted.m_document, answer.document_steps);
     if (!document) {
       reply(ErrorBody(document.error().m_code, document.error().m_message));
       return;
@@ -193,7 +197,7 @@
 }
 
 void MemberService::ReadDocumentSteps(const wire::DocumentRead& read, const ReplyFn& reply) {
-  if (!LeadsForSure(reply))
+  if (!RequireConfirmedLeader(reply))
     return;
   wire::DocumentSteps steps;
   steps.steps =
--- a/apps/poppywayd/member_evacuation.cc
+++ b/apps/poppywayd/member_evacuation.cc
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Operators' orders that a data centre gets nothing new, at a member.
+// Handling of operators' evacuation orders at a member. An evacuated data centre gets no new
+// requests.
 
 #include <algorithm>
 
@@ -10,33 +11,33 @@
 namespace poppyway {
 
 void MemberService::SubmitEvacuation(const wire::EvacuationOrder& order, const ReplyFn& reply) {
-  wire::EvacuationOrder dated = order;
+  wire::EvacuationOrder numbered = order;
   if (!order.__isset.known)
-    dated.__set_known(LastEvacuationNumber(m_machine.m_hosted, order.data_centre));
+    numbered.__set_known(LastEvacuationNumber(m_machine.m_hosted, order.data_centre));
   if (!is_leader()) {
     wire::Body body;
-    body.__set_evacuation_order(dated);
-    AskLeader(std::move(body), reply);
+    body.__set_evacuation_order(numbered);
+    CallLeader(std::move(body), reply);
     return;
   }
   const bool named = m_settings.m_regions.contains(order.data_centre);
   if (!named && !KnowsDataCentre(m_machine.m_hosted, order.data_centre)) {
-    if (LeadsForSure(reply))
+    if (RequireConfirmedLeader(reply))
       reply(ErrorBody(ResultCode::kNotFound,
                       "data centre '" + order.data_centre +
                           "' is not in the settings and no backend server registered from it"));
     return;
   }
-  // Refused at once, so that the operator turns to another member: an order that a leader without a
-  // majority takes would be answered long after its caller has given up.
-  if (!LeadsForSure(reply))
+  // An unconfirmed leader rejects the order at once, so that the operator retries at another
+  // member. Without a majority, the response would come long after the caller's timeout.
+  if (!RequireConfirmedLeader(reply))
     return;
-  // Also a repeated order goes through the log: its acknowledgement must come from a leader that
-  // still is one, and the first one must be safe by then.
+  // A repeated order takes a log entry too, since only a leader that still leads may acknowledge
+  // it, and only once the first order is committed.
   wire::Command command;
-  command.__set_evacuation(dated);
+  command.__set_evacuation(numbered);
   const std::int64_t before = LastEvacuationNumber(m_machine.m_hosted, order.data_centre);
-  Commit(std::move(command), [this, order, before, reply](wire::Body answer) {
+  CommitCommand(std::move(command), [this, order, before, reply](wire::Body answer) {
     if (answer.__isset.error) {
       reply(std::move(answer));
       return;
@@ -61,15 +62,15 @@
   const HostedState& hosted = m_machine.m_hosted;
   std::vector<wire::EvacuationStatus> statuses;
   for (const auto& [data_centre, evacuation] : hosted.m_evacuations) {
-    const auto there = [&name = data_centre](const auto& entry) {
+    const auto in_data_centre = [&name = data_centre](const auto& entry) {
       const wire::ServerRecord& record = entry.second;
       return record.stage != wire::ServerStage::GONE && record.data_centre == name;
     };
     wire::EvacuationStatus& status = statuses.emplace_back();
     status.evacuation = evacuation;
     status.servers = static_cast<std::int32_t>(
-        std::count_if(hosted.m_servers.begin(), hosted.m_servers.end(), there));
-    status.running = m_places.CountRunningIn(data_centre).value_or(-1);
+        std::count_if(hosted.m_servers.begin(), hosted.m_servers.end(), in_data_centre));
+    status.running = m_slot_broker.CountRunningIn(data_centre).value_or(-1);
   }
   return statuses;
 }
--- a/apps/poppywayd/member_service.cc
+++ b/apps/poppywayd/member_service.cc
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr Duration kHelloInterval{200'000};
-constexpr Duration kProposalLimit{3'000'000};
+constexpr Duration kProposalTimeout{3'000'000};
 constexpr Duration kMaxPollWait{30'000'000};
 
-/// "name" of a voter, "(name)" of a member without a vote.
+/// Lists the members' names; the names of non-voters are in parentheses.
 std::string DescribeMembers(const wire::Membership& membership) {
   std::string text;
   for (const wire::MemberInfo& member : membership.members)
@@ -23,8 +23,8 @@
   return text;
 }
 
-/// Tells one list of members from another.
-std::int64_t DigestOf(const wire::Membership& membership) {
+/// Returns a digest by which lists of members are compared.
+std::int64_t MembershipDigest(const wire::Membership& membership) {
   return static_cast<std::int64_t>(Hash(Serialize(membership)));
 }
 
@@ -39,7 +39,7 @@
 MemberService::MemberService(EventLoop& loop, const DaemonSettings& settings)
     : m_loop(loop),
       m_settings(settings),
-      m_places({settings.m_exposure_share, settings.m_exposure_slack}, settings.m_regions),
+      m_slot_broker({settings.m_exposure_share, settings.m_exposure_slack}, settings.m_regions),
       m_rollouts({settings.m_exposure_share, settings.m_exposure_slack}),
       m_flusher(loop, [this](int) { Flush(); }) {
   for (const MemberSettings& member : settings.m_members) {
@@ -83,9 +83,9 @@
   const Instant now = ReadClock();
   m_document_history = {};
   m_rollouts.OnApplied(m_machine.m_hosted, now);
-  ReadColdLimits();
+  ReadSlowStartLimits();
   m_cold_until.clear();
-  ExpectWarmth(0, now);
+  UpdateColdTimes(0, now);
 }
 
 wire::MemberInfo MemberService::Self() const {
@@ -99,23 +99,23 @@
   return self;
 }
 
-void MemberService::Take(LogEffects&& effects) {
+void MemberService::QueueEffects(LogEffects&& effects) {
   MergeEffects(m_effects, std::move(effects));
   if (m_flush_due)
     return;
   m_flush_due = true;
-  m_flusher.Send(0);  // Everything that arrives until then shares one sync.
+  m_flusher.Send(0);  // All effects that arrive before the flush share one sync.
 }
 
 void MemberService::SendTo(const wire::LogMessage& message) {
   const wire::MemberInfo* member = FindMember(m_node.m_membership, message.to_id);
-  const auto learned = m_names.find(message.to_id);
+  const auto learned = m_member_names.find(message.to_id);
   std::string name;
   if (member != nullptr)
     name = member->name;
-  else if (learned != m_names.end())
+  else if (learned != m_member_names.end())
     name = learned->second;
-  PeerClient* peer = PeerNamed(name);
+  PeerClient* peer = FindOrAddPeer(name);
   if (peer == nullptr)
     return;
   CountEntries(message);
@@ -129,7 +129,7 @@
   for (const wire::LogEntry& entry : message.body.append.entries) {
     m_log_bytes += EntrySizeBytes(entry);
     if (entry.index <= until)
-      m_log_bytes_again += EntrySizeBytes(entry);
+      m_log_bytes_resent += EntrySizeBytes(entry);
     until = std::max(until, entry.index);
   }
 }
@@ -149,12 +149,12 @@
     const auto found = m_pending.find(entry.index);
     if (found == m_pending.end())
       continue;
-    const Slot slot = found->second;
+    const PendingCommand command = found->second;
     m_pending.erase(found);
-    PendingProposal& proposal = *slot.m_proposal;
+    PendingProposal& proposal = *command.m_proposal;
     if (proposal.m_term != entry.term || !proposal.m_reply)
       continue;
-    proposal.m_results[slot.m_at] = std::move(result);
+    proposal.m_results[command.m_result_index] = std::move(result);
     if (--proposal.m_left > 0)
       continue;
     wire::ProposeReply reply;
@@ -171,11 +171,11 @@
   if (rollouts)
     m_rollouts.OnApplied(m_machine.m_hosted, ReadClock());
   if (document)
-    ReadColdLimits();
+    ReadSlowStartLimits();
   if (servers)
-    ExpectWarmth(servers_before, ReadClock());
+    UpdateColdTimes(servers_before, ReadClock());
   if (servers || rollouts)
-    m_places.UpdateServers(m_machine.m_hosted, ReadClock());
+    m_slot_broker.UpdateServers(m_machine.m_hosted, ReadClock());
   if (!declared && !document && !servers)
     return;
   if (declared)
@@ -185,17 +185,17 @@
     POPPYWAY_LOG(info, "document_accepted")
         .Field("version", m_machine.m_hosted.m_document.version)
         .Field("log_index", m_machine.m_applied_index);
-  AnswerPolls(ReadClock());
+  RespondToPolls(ReadClock());
 }
 
 void MemberService::FailPending(const std::string& why) {
-  std::map<std::int64_t, Slot> pending;
+  std::map<std::int64_t, PendingCommand> pending;
   pending.swap(m_pending);
-  for (auto& [index, slot] : pending) {
-    if (!slot.m_proposal->m_reply)
+  for (auto& [index, command] : pending) {
+    if (!command.m_proposal->m_reply)
       continue;
-    slot.m_proposal->m_reply(ErrorBody(ResultCode::kNoMajority, why));
-    slot.m_proposal->m_reply = nullptr;
+    command.m_proposal->m_reply(ErrorBody(ResultCode::kNoMajority, why));
+    command.m_proposal->m_reply = nullptr;
   }
 }
 
@@ -204,11 +204,13 @@
   if (!m_disk_full)
     Lead(now);
   ExpireProposals(now);
-  AnswerPolls(now);
+  RespondToPolls(now);
 }
 
-void MemberService::LogPartChange(const Part& before, Instant heard, Instant now) const {
-  const std::int64_t silent_ms = (now - heard).count() / 1000;
+void MemberService::LogRoleChange(const RoleState& before,
+                                  Instant last_contact,
+                                  Instant now) const {
+  const std::int64_t silent_ms = (now - last_contact).count() / 1000;
   const bool led = before.m_role == Role::kLeader;
   if (is_leader() && !led)
     POPPYWAY_LOG(info, "leading").Field("term", m_node.m_hard_state.term);
@@ -225,49 +227,50 @@
 }
 
 void MemberService::Lead(Instant now) {
-  const Part before = CurrentPart();
-  const Instant heard = m_node.m_last_leader_contact;
-  Take(TickLog(m_node, now));
-  LogPartChange(before, heard, now);
-  if ((Blank() || LacksLeader(now)) && now >= m_hello_due)
-    SayHello(now);
+  const RoleState before = CurrentRole();
+  const Instant last_contact = m_node.m_last_leader_contact;
+  QueueEffects(TickLog(m_node, now));
+  LogRoleChange(before, last_contact, now);
+  if ((IsBlank() || LacksLeader(now)) && now >= m_hello_due)
+    SendHellos(now);
   if (!is_leader()) {
     m_table = {};
-    m_places.OnLeadershipLost();
+    m_slot_broker.OnLeadershipLost();
     if (!m_pending.empty())
       FailPending("leadership was lost");
     return;
   }
   if (m_table.m_leading_since == Instant{})
-    // A hosted instance that falls silent may serve until its last confirmation lapses.
+    // A hosted instance without contact may serve until its last confirmation expires.
     m_table = MakeInstanceTable(std::chrono::milliseconds(std::max(
                                     m_settings.m_lease_ms, m_settings.m_confirmation_ttl_ms)),
                                 std::chrono::milliseconds(m_settings.m_lease_ms / 5), now);
-  ProposeDue(now);
-  if (m_settings.m_hosted && m_places.epoch() != m_node.m_hard_state.term)
-    m_places.OnLeadershipGained(m_node.m_hard_state.term, m_machine.m_hosted,
-                                std::chrono::milliseconds(m_settings.m_confirmation_ttl_ms), now);
-  m_places.Tick(now);
+  ProposeOwnCommands(now);
+  if (m_settings.m_hosted && m_slot_broker.epoch() != m_node.m_hard_state.term)
+    m_slot_broker.OnLeadershipGained(m_node.m_hard_state.term, m_machine.m_hosted,
+                                     std::chrono::milliseconds(m_settings.m_confirmation_ttl_ms),
+                                     now);
+  m_slot_broker.Tick(now);
   ProposeRollouts(now);
 }
 
 void MemberService::ExpireProposals(Instant now) {
   std::vector<std::int64_t> expired;
-  for (auto& [index, slot] : m_pending) {
-    if (now < slot.m_proposal->m_expires)
+  for (auto& [index, command] : m_pending) {
+    if (now < command.m_proposal->m_expires)
       continue;
     expired.push_back(index);
-    if (slot.m_proposal->m_reply)
-      slot.m_proposal->m_reply(ErrorBody(ResultCode::kNoMajority, "no majority in time"));
-    slot.m_proposal->m_reply = nullptr;
+    if (command.m_proposal->m_reply)
+      command.m_proposal->m_reply(ErrorBody(ResultCode::kNoMajority, "no majority in time"));
+    command.m_proposal->m_reply = nullptr;
   }
   for (const std::int64_t index : expired)
     m_pending.erase(index);
 }
 
-void MemberService::SayHello(Instant now) {
+void MemberService::SendHellos(Instant now) {
   m_hello_due = now + kHelloInterval;
-  const bool blank = Blank();
+  const bool blank = IsBlank();
   for (auto& [name, peer] : m_peers) {
     wire::Hello hello;
     hello.cluster = m_settings.m_cluster;
@@ -279,23 +282,23 @@
       if (!reply || !reply->__isset.hello_reply)
         return;
       for (const wire::MemberInfo& member : reply->hello_reply.members) {
-        if (PeerNamed(member.name) != nullptr)
-          m_names[member.id] = member.name;
+        if (FindOrAddPeer(member.name) != nullptr)
+          m_member_names[member.id] = member.name;
       }
       RecordHello(m_bootstrap, reply->hello_reply.member, reply->hello_reply.blank);
     });
   }
-  TryForm(now);
+  TryBootstrap(now);
 }
 
-void MemberService::TryForm(Instant now) {
-  if (!m_settings.m_may_bootstrap || !Blank())
+void MemberService::TryBootstrap(Instant now) {
+  if (!m_settings.m_may_bootstrap || !IsBlank())
     return;
   const std::optional<wire::Membership> membership = BootstrapMembership(m_bootstrap);
   if (!membership)
     return;
   POPPYWAY_LOG(info, "cluster_formed").Field("members", membership->members.size());
-  Take(BootstrapLog(m_node, *membership, now));
+  QueueEffects(BootstrapLog(m_node, *membership, now));
 }
 
 void MemberService::OnHello(const wire::Hello& hello, const ReplyFn& reply) {
@@ -303,15 +306,15 @@
     reply(ErrorBody(ResultCode::kDataForeign, "this is cluster '" + m_settings.m_cluster + "'"));
     return;
   }
-  m_names[hello.member.id] = hello.member.name;
-  const bool stranger = FindMember(m_node.m_membership, hello.member.id) == nullptr;
-  if (Blank())
+  m_member_names[hello.member.id] = hello.member.name;
+  const bool unknown_member = FindMember(m_node.m_membership, hello.member.id) == nullptr;
+  if (IsBlank())
     RecordHello(m_bootstrap, hello.member, hello.blank);
-  else if (is_leader() && (hello.blank || stranger))
+  else if (is_leader() && (hello.blank || unknown_member))
     m_joining[hello.member.name] = hello.member;
   wire::HelloReply answer;
   answer.member = Self();
-  answer.blank = Blank();
+  answer.blank = IsBlank();
   answer.leader_id = m_node.m_leader;
   answer.members = m_node.m_membership.members;
   wire::Body body;
@@ -319,9 +322,9 @@
   reply(std::move(body));
 }
 
-/// What a leader proposes of itself: memberships, gone instances, broker leases.
-void MemberService::ProposeDue(Instant now) {
-  if (m_machine.m_applied_index < m_proposing_until)
+/// Proposes the leader's own commands: membership changes, gone instances and broker leases.
+void MemberService::ProposeOwnCommands(Instant now) {
+  if (m_machine.m_applied_index < m_last_own_proposal)
     return;
   LogEffects effects;
   std::vector<wire::MemberInfo> joining;
@@ -348,7 +351,7 @@
     POPPYWAY_LOG(info, "instance_gone")
         .Field("incarnation", incarnation)
         .Field("led_ms", (now - m_table.m_leading_since).count() / 1000)
-        .Field("beats_refused", m_beats_refused);
+        .Field("beats_refused", m_heartbeats_rejected);
   }
   m_table.m_ended_incarnations.clear();
   std::vector<std::string> pools;
@@ -361,27 +364,27 @@
     POPPYWAY_LOG(info, "lease_proposed").Field("lease", grant.lease).Field("holder", grant.holder);
   }
   if (!commands.empty() && ProposeLog(m_node, commands, effects, now))
-    m_proposing_until = LastIndex(m_node);
-  Take(std::move(effects));
+    m_last_own_proposal = LastIndex(m_node);
+  QueueEffects(std::move(effects));
 }
 
 void MemberService::OnLogMessage(const wire::LogMessage& message) {
   if (m_disk_full)
-    return;  // A member that can't write takes no part, as if it were slow.
-  m_names[message.from_id] = message.from_name;
-  const Part before = CurrentPart();
-  const Instant heard = m_node.m_last_leader_contact;
+    return;  // A member that can't write takes no part, as if it were slow to respond.
+  m_member_names[message.from_id] = message.from_name;
+  const RoleState before = CurrentRole();
+  const Instant last_contact = m_node.m_last_leader_contact;
   const Instant now = ReadClock();
-  Take(StepLog(m_node, message, now));
+  QueueEffects(StepLog(m_node, message, now));
   if (is_leader() && before.m_role != Role::kLeader)
-    m_proposing_until = 0;
-  LogPartChange(before, heard, now);
+    m_last_own_proposal = 0;
+  LogRoleChange(before, last_contact, now);
 }
 
 wire::Body MemberService::NotLeader() const {
   wire::Body body = ErrorBody(ResultCode::kNotLeader, "this member is not the leader");
   const wire::MemberInfo* leader = FindMember(m_node.m_membership, m_node.m_leader);
-  // One that has led and isn't sure any more is no help.
+  // A member that isn't confirmed as leader any more doesn't name itself.
   if (leader == nullptr || leader->id == m_node.m_id)
     return body;
   body.error.leader_address = leader->address;
@@ -391,7 +394,7 @@
 
 void MemberService::OnPropose(const wire::Propose& propose, const ReplyFn& reply) {
   if (m_disk_full) {
-    reply(ErrorBody(ResultCode::kDiskFull, "this member's disk has no room"));
+    reply(ErrorBody(ResultCode::kDiskFull, "this member's disk is full"));
     return;
   }
   LogEffects effects;
@@ -406,27 +409,27 @@
   proposal->m_term = m_node.m_hard_state.term;
   proposal->m_results.resize(propose.commands.size());
   proposal->m_reply = reply;
-  proposal->m_expires = now + kProposalLimit;
+  proposal->m_expires = now + kProposalTimeout;
   for (std::size_t i = 0; i < propose.commands.size(); ++i)
     m_pending[*first + static_cast<std::int64_t>(i)] = {proposal, i};
-  Take(std::move(effects));
+  QueueEffects(std::move(effects));
 }
 
-void MemberService::OnHeartbeat(const wire::Heartbeat& beat, const ReplyFn& reply) {
+void MemberService::OnHeartbeat(const wire::Heartbeat& heartbeat, const ReplyFn& reply) {
   const Instant now = ReadClock();
-  const bool begun = is_leader() && m_table.m_leading_since != Instant{};
-  // It has been heard, whether or not it may be answered.
-  if (begun)
-    RecordHeartbeat(m_table, beat, now);
-  if (!begun || !Confirmed(now)) {
-    m_beats_refused += begun ? 1 : 0;
+  const bool leads = is_leader() && m_table.m_leading_since != Instant{};
+  // The heartbeat proves that the instance is alive even if this member may not answer it.
+  if (leads)
+    RecordHeartbeat(m_table, heartbeat, now);
+  if (!leads || !IsConfirmedLeader(now)) {
+    m_heartbeats_rejected += leads ? 1 : 0;
     reply(NotLeader());
     return;
   }
   wire::HeartbeatReply answer;
-  // Who knows them already is spared the list: it is long at the planned size.
+  // The list is omitted if the instance already has it, since it is long in large deployments.
   answer.leases_index = m_machine.m_leases_index;
-  answer.leases_same = beat.leases_seen == m_machine.m_leases_index;
+  answer.leases_same = heartbeat.leases_seen == m_machine.m_leases_index;
   if (!answer.leases_same) {
     for (const auto& [name, lease] : m_machine.m_leases)
       answer.leases.push_back(lease);
@@ -435,45 +438,45 @@
   answer.leader_term = m_node.m_hard_state.term;
   answer.live = static_cast<std::int32_t>(m_table.m_live.size());
   if (m_settings.m_hosted) {
-    answer.members_digest = DigestOf(m_node.m_membership);
-    if (answer.members_digest != beat.members_seen)
+    answer.members_digest = MembershipDigest(m_node.m_membership);
+    if (answer.members_digest != heartbeat.members_seen)
       answer.members = m_node.m_membership.members;
     answer.document_version = m_machine.m_hosted.m_document.version;
     answer.servers_index = m_machine.m_hosted.m_servers_index;
-    m_places.RecordContact(beat.incarnation, now);
+    m_slot_broker.RecordContact(heartbeat.incarnation, now);
   }
   wire::Body body;
   body.__set_heartbeat_reply(answer);
   reply(std::move(body));
 }
 
-void MemberService::OnPlaces(const wire::PlaceBatch& batch, PeerConnection& from) {
+void MemberService::OnSlotBatch(const wire::PlaceBatch& batch, PeerConnection& from) {
   const Instant now = ReadClock();
-  m_places.OnBatch(batch, from, Confirmed(now), now);
+  m_slot_broker.OnBatch(batch, from, IsConfirmedLeader(now), now);
 }
 
 void MemberService::OnPoll(const wire::ConfigPoll& poll, const ReplyFn& reply) {
   const Instant now = ReadClock();
   const Duration wait = std::min<Duration>(std::chrono::milliseconds(poll.wait_ms), kMaxPollWait);
   m_polls.push_back({poll, reply, now + wait});
-  AnswerPolls(now);
+  RespondToPolls(now);
 }
 
-void MemberService::AnswerPolls(Instant now) {
-  std::map<std::int64_t, wire::Body> by_version;  // Readers of one version share one answer.
-  std::vector<ParkedPoll> parked;
-  parked.swap(m_polls);
-  bool told_servers = false;
-  for (ParkedPoll& poll : parked) {
-    if (!HasNews(poll.m_poll) && now < poll.m_expires) {
+void MemberService::RespondToPolls(Instant now) {
+  std::map<std::int64_t, wire::Body> by_version;  // Polls with the same version share a response.
+  std::vector<PendingPoll> pending;
+  pending.swap(m_polls);
+  bool sent_servers = false;
+  for (PendingPoll& poll : pending) {
+    if (!HasUpdate(poll.m_poll) && now < poll.m_expires) {
       m_polls.push_back(std::move(poll));
       continue;
     }
     if (poll.m_poll.hosted) {
       wire::Body body;
-      body.__set_delta(NewsFor(poll.m_poll));
-      ++m_news_answers;
-      told_servers = told_servers || (poll.m_poll.have_servers != 0 && !body.delta.servers.empty());
+      body.__set_delta(MakeDelta(poll.m_poll));
+      ++m_poll_responses;
+      sent_servers = sent_servers || (poll.m_poll.have_servers != 0 && !body.delta.servers.empty());
       poll.m_reply(std::move(body));
       continue;
     }
@@ -482,8 +485,8 @@
       entry->second.__set_delta(DeltaSince(m_machine.m_configuration, poll.m_poll.have_version));
     poll.m_reply(entry->second);
   }
-  if (told_servers)
-    m_servers_told = now;
+  if (sent_servers)
+    m_servers_sent = now;
 }
 
 }  // namespace poppyway
--- a/apps/poppywayd/member_service.h
+++ b/apps/poppywayd/member_service.h
@@ -20,187 +20,214 @@
 
 namespace poppyway {
 
-/// \brief Sends the answer to one peer's request.
+/// \brief Sends the response to one request.
 using ReplyFn = std::function<void(wire::Body)>;
 
-/// \brief A member of the replicated log: drives `LogNode` with storage, peers and the state
-/// machine. Belongs to the control task.
+/// \brief A member of the replicated log: it drives `LogNode` with storage, peers and the state
+/// machine. Not thread-safe: it belongs to the control task.
 class MemberService {
  public:
+  /// `loop` must outlive the service. `Open` must succeed before any other function is called.
   MemberService(EventLoop& loop, const DaemonSettings& settings);
   ~MemberService();
 
-  /// Opens the data folder and replays it.
+  /// Opens the data folder and restores the state from it, or returns why that failed.
   [[nodiscard]] Result<void> Open();
-  /// Hosted: other members to ask for a way in.
+  /// Adds members through which this one can join. Hosted deployments only.
   void AddSeeds(const std::vector<MemberSettings>& seeds);
+  /// Advances elections and proposals, retries a full disk and responds to polls that are due.
   void Tick(Instant now);
 
   void OnLogMessage(const wire::LogMessage& message);
   void OnHello(const wire::Hello& hello, const ReplyFn& reply);
-  /// Replies once every command is committed and applied, or with an error.
+  /// Proposes commands. Replies once every command is committed and applied, or with an error.
   void OnPropose(const wire::Propose& propose, const ReplyFn& reply);
-  void OnHeartbeat(const wire::Heartbeat& beat, const ReplyFn& reply);
-  /// Replies as soon as the version is past the caller's, or after its wait.
-  /// A batch of place requests and reports about places.
-  void OnPlaces(const wire::PlaceBatch& batch, PeerConnection& from);
+  /// Records an instance's heartbeat. Replies with the leases and versions, or with `kNotLeader`
+  /// unless this member is confirmed as leader.
+  void OnHeartbeat(const wire::Heartbeat& heartbeat, const ReplyFn& reply);
+  /// Handles a batch of slot requests and reports about slots; responses go over `from`.
+  void OnSlotBatch(const wire::PlaceBatch& batch, PeerConnection& from);
+  /// Replies as soon as the state is newer than the caller's, or after the poll's wait.
   void OnPoll(const wire::ConfigPoll& poll, const ReplyFn& reply);
-  /// Replies with a part of a step of the document, without bytes if it isn't kept.
+  /// Replies with a piece of a document change, without bytes if the change is no longer kept.
   void OnPieceRequest(const wire::PieceRequest& request, const ReplyFn& reply);
   void OnObjects(const wire::ObjectsRequest& request, const ReplyFn& reply);
   [[nodiscard]] wire::StatusReply Status() const;
 
-  /// Hosted deployments: replies `done` once the document is committed, here or at the leader, or
-  /// an error after which the caller may send it again anywhere.
+  /// Submits an operator's document, on any member. Replies `done` once it is committed, or with an
+  /// error after which the caller may retry at any member. Hosted deployments only, as are the
+  /// functions below up to `SetSlowStartLimitReader`.
   void SubmitDocument(const wire::Document& document, const ReplyFn& reply);
-  /// A document that another member passes on, as the step from the version held there.
-  /// Precondition: this member leads. Replies `kVersionConflict` if it holds another version.
+  /// Submits a document that another member forwards as the change from the version held there.
+  /// Replies `kVersionConflict` if this member holds another version. Precondition: this member
+  /// leads.
   void SubmitDocumentChange(const wire::DocumentChange& change, const ReplyFn& reply);
-  /// Replies with the steps that lead another member to the newest document. Precondition: as
-  /// above.
+  /// Replies with the changes from another member's version to the newest document, or with an
+  /// error unless this member is confirmed as leader.
   void ReadDocumentSteps(const wire::DocumentRead& read, const ReplyFn& reply);
-  /// Replies with the newest accepted document, or an error if that can't be made sure of.
+  /// Replies with the newest accepted document, or with an error if no confirmed leader responds.
   void ReadDocument(const ReplyFn& reply);
-  /// A backend server's own call. Replies `done` once every instance in contact will learn of it.
+  /// Handles the heartbeat or deregistration of a backend server. Replies `done` once its content
+  /// is committed, so that every connected instance will receive it, or with an error.
   void SubmitServer(const wire::ServerRecord& record, const ReplyFn& reply);
 
-  /// An operator's order. Replies `done` once it is committed, also to one that repeats it.
+  /// Submits an operator's order of a roll-out. Replies `done` once it is committed, also to a
+  /// repeated order, or with an error.
   void SubmitRollout(const wire::RolloutOrder& order, const ReplyFn& reply);
-  /// Replies with the last roll-out of a pool, or an error if that can't be made sure of.
+  /// Replies with the last roll-out of a pool, or with an error if there was none or no confirmed
+  /// leader responds.
   void ReadRollout(const std::string& pool, const ReplyFn& reply);
 
-  /// An operator's order for a data centre. Replies `done` once it is committed, also to one that
-  /// repeats it, or an error after which the caller may send it again anywhere.
+  /// Submits an operator's order to begin or end the evacuation of a data centre. Replies `done`
+  /// once it is committed, also to a repeated order, or with an error after which the caller may
+  /// retry at any member.
   void SubmitEvacuation(const wire::EvacuationOrder& order, const ReplyFn& reply);
 
-  /// Hosted: reads the limits of cold servers out of an operator's document, by pool.
-  using ColdLimitReader =
+  /// Reads the slow-start limits from an operator's document. Returns them by pool, or why the
+  /// document can't be decoded.
+  using SlowStartLimitReader =
       std::function<Result<std::map<std::string, SlowStartLimit>>(const wire::Document&)>;
-  void SetColdLimitReader(ColdLimitReader reader);
+  /// Sets the reader and reads the limits of the current document.
+  void SetSlowStartLimitReader(SlowStartLimitReader reader);
 
   [[nodiscard]] bool is_leader() const noexcept { return m_node.m_role == Role::kLeader; }
-  /// The error for a caller that should ask the leader.
+  /// Returns the `kNotLeader` error, with the leader's address if another member is known to lead.
   [[nodiscard]] wire::Body NotLeader() const;
   void AddMetrics(MetricSet& metrics) const;
   [[nodiscard]] SendQueueStats queue_stats() const;
-  /// True while this member leads, or follows a leader that it has heard lately.
+  /// Returns true if this member leads with a quorum, or had contact with its leader within the
+  /// longest election timeout.
   [[nodiscard]] bool IsConnectedToQuorum(Instant now) const;
-  /// To other members.
+  /// Returns the bytes sent to other members.
   [[nodiscard]] std::uint64_t bytes_sent() const;
 
  private:
   struct PendingProposal {
-    std::size_t m_left = 0;
+    std::size_t m_left = 0;  ///< Commands that aren't applied yet.
     std::int64_t m_term = 0;
     std::vector<wire::CommandResult> m_results;
     ReplyFn m_reply;
     Instant m_expires{};
   };
-  /// Operators' documents of one version or several, acknowledged together.
+  /// Operators' documents, of one or several versions, that are acknowledged together.
   struct DocumentOrder {
-    wire::Document m_document;  ///< The newest of them.
+    wire::Document m_document;  ///< The newest of the documents.
     std::vector<ReplyFn> m_replies;
   };
-  struct ParkedPoll {
+  /// A poll whose response waits for a change or the poll's timeout.
+  struct PendingPoll {
     wire::ConfigPoll m_poll;
     ReplyFn m_reply;
     Instant m_expires{};
   };
-  struct Slot {
+  /// A command that waits to be applied.
+  struct PendingCommand {
     std::shared_ptr<PendingProposal> m_proposal;
-    std::size_t m_at = 0;
+    std::size_t m_result_index = 0;  ///< Index of its result in the proposal.
   };
 
-  /// What others may ask about this member's part in the log; compared before and after a step.
-  struct Part {
+  /// This member's role and known leader, compared before and after a step of the log.
+  struct RoleState {
     Role m_role = Role::kFollower;
     MemberId m_leader = 0;
   };
-  [[nodiscard]] Part CurrentPart() const { return {m_node.m_role, m_node.m_leader}; }
-  /// Writes a line if this member began or ceased to lead, or lost its leader. `heard`: when it had
-  /// Writes a line if this member began or ceased to lead, or found or lost a leader. `heard`: when
-  /// it had last heard the leader, or began to lead, before the step.
-  void LogPartChange(const Part& before, Instant heard, Instant now) const;
-
-  void Take(LogEffects&& effects);
-  /// Sends and applies what has gathered, and begins to save it.
+  [[nodiscard]] RoleState CurrentRole() const { return {m_node.m_role, m_node.m_leader}; }
+  /// Logs whether this member started or stopped leading, or found or lost a leader.
+  /// \param last_contact the last contact with the leader before the step, or when this member
+  /// began to lead.
+  void LogRoleChange(const RoleState& before, Instant last_contact, Instant now) const;
+
+  /// Queues effects for the next flush.
+  void QueueEffects(LogEffects&& effects);
+  /// Sends and applies the queued effects and starts to save them.
   void Flush();
-  /// Sends what rests on durable state; the rest waits for the next save.
-  void SendOrHold(std::vector<wire::LogMessage> messages);
-  /// Takes up what has gathered: sends it, or holds it, and counts it as not saved yet. Returns
-  /// what is to be applied.
-  [[nodiscard]] std::vector<wire::LogEntry> Perform();
-  /// Saves what isn't saved yet, or a snapshot that is due, unless another save is under way.
-  /// Precondition: `Perform` has just been called, so that the save holds all that the log does.
+  /// Sends the messages that depend on durable state only; the others wait for the next save.
+  void SendOrDefer(std::vector<wire::LogMessage> messages);
+  /// Sends or defers the messages of the queued effects and adds the rest to the unsaved effects.
+  /// Returns the entries that are to be applied.
+  [[nodiscard]] std::vector<wire::LogEntry> ProcessEffects();
+  /// Saves the unsaved effects, or a snapshot if one is due, unless a save is in progress.
+  /// Precondition: `ProcessEffects` has just been called, so that the save covers the whole log.
   void StartSave();
   void OnSaved(SaveOutcome outcome);
-  /// What was refused is saved before all that came after it.
-  void PutBack(LogEffects&& effects);
-  void DiskHasRoom();
+  /// Puts effects that weren't saved before all unsaved effects that came later.
+  void RequeueEffects(LogEffects&& effects);
+  /// Ends the state of a full disk after a save succeeded.
+  void OnDiskSpaceAvailable();
   void Apply(const std::vector<wire::LogEntry>& entries);
   void FailPending(const std::string& why);
-  void AnswerPolls(Instant now);
-  void SayHello(Instant now);
-  void TryForm(Instant now);
-  void ProposeDue(Instant now);
+  void RespondToPolls(Instant now);
+  void SendHellos(Instant now);
+  void TryBootstrap(Instant now);
+  void ProposeOwnCommands(Instant now);
   [[nodiscard]] bool SnapshotDue() const;
   void SendTo(const wire::LogMessage& message);
+  /// Counts the bytes of the entries that a message carries.
   void CountEntries(const wire::LogMessage& message);
-  /// The connection to a member; null if its name is no known place.
-  [[nodiscard]] PeerClient* PeerNamed(const std::string& name);
-  /// Sends to the leader, or replies that there is none in reach.
-  void AskLeader(wire::Body body, const ReplyFn& reply);
-  /// Proposes the step to the document; one at a time, since it has to follow on what is held when
-  /// it is applied.
+  /// Returns the client of a member; null if the name is unknown and no endpoint.
+  [[nodiscard]] PeerClient* FindOrAddPeer(const std::string& name);
+  /// Forwards a request to the leader and passes its response to `reply`, or an error if no leader
+  /// is known or it doesn't respond.
+  void CallLeader(wire::Body body, const ReplyFn& reply);
+  /// Proposes the change to the document. Only one change may be in progress, since it must apply
+  /// to the document that is held at that time.
   void ProposeDocument(DocumentOrder order);
   void OnDocumentProposed(const wire::Body& answer);
-  /// Passes a document on to the leader: the step from the version held here, or the whole.
+  /// Forwards a document to the leader, as the change from the version held here or as a whole.
   void ForwardDocument(const wire::Document& document, bool whole, const ReplyFn& reply);
-  /// Proposes commands of this leader and replies `done` once they are applied.
-  void Commit(wire::Command command, const ReplyFn& reply);
-  /// Calls `act` once this new leader's state holds all that earlier ones committed, or `reply`
-  /// with why that failed.
-  void AwaitState(const ReplyFn& reply, std::function<void()> act);
+  /// Proposes a command and replies `done` once it is applied, or with an error.
+  void CommitCommand(wire::Command command, const ReplyFn& reply);
+  /// Calls `action` once this new leader's state holds all that earlier leaders committed, or
+  /// `reply` with an error if that fails.
+  void AwaitCommittedState(const ReplyFn& reply, std::function<void()> action);
+  /// Returns this member's name: its peer endpoint in hosted deployments, otherwise the instance's.
   [[nodiscard]] std::string MemberName() const;
+  /// Returns true if this member follows and its last contact with a leader is too long ago.
   [[nodiscard]] bool LacksLeader(Instant now) const;
-  [[nodiscard]] bool HasNews(const wire::ConfigPoll& poll) const;
-  /// True if changes of servers may be told now.
-  [[nodiscard]] bool MayTellServers(const wire::ConfigPoll& poll) const;
-  /// The term of the leader that this member follows or is; zero: it knows none.
+  /// Returns true if the state is newer than the poll's and may be sent now.
+  [[nodiscard]] bool HasUpdate(const wire::ConfigPoll& poll) const;
+  /// Returns true if changes of servers may be sent now.
+  [[nodiscard]] bool MaySendServers(const wire::ConfigPoll& poll) const;
+  /// Returns the term of the known leader, which may be this member, or zero if none is known.
   [[nodiscard]] std::int64_t KnownLeaderTerm() const;
-  [[nodiscard]] wire::ConfigDelta NewsFor(const wire::ConfigPoll& poll);
+  /// Returns what the poll's caller lacks, and counts its bytes. Hosted deployments only.
+  [[nodiscard]] wire::ConfigDelta MakeDelta(const wire::ConfigPoll& poll);
   [[nodiscard]] wire::MemberInfo Self() const;
-  [[nodiscard]] bool Blank() const { return m_node.m_membership.members.empty(); }
-  /// What status shows of each data centre that an order was given for.
+  /// Returns true if this member knows no membership yet.
+  [[nodiscard]] bool IsBlank() const { return m_node.m_membership.members.empty(); }
+  /// Returns the status of each data centre for which an evacuation was ordered.
   [[nodiscard]] std::vector<wire::EvacuationStatus> EvacuationStatuses() const;
+  /// Logs the error and ends the process.
   void FatalDisk(const Error& why);
-  /// The disk has no room for these effects: nothing more is sent until it has.
-  void HoldBack(LogEffects&& effects, const Error& why);
-  /// Tries again what was held back.
+  /// Puts effects back that a full disk rejected. No message is sent until a save succeeds.
+  void OnDiskFull(LogEffects&& effects, const Error& why);
+  /// Retries the save on a full disk if the retry is due.
   void RetryDisk(Instant now);
-  /// Elections, proposals of its own, the broker of places.
+  /// Advances the log and, on the leader, proposes its commands and runs the slot broker.
   void Lead(Instant now);
   void ExpireProposals(Instant now);
-  /// Hosted, as the leader: what is due of roll-outs.
+  /// Proposes the steps of roll-outs that are due. Hosted deployments only; precondition: this
+  /// member leads.
   void ProposeRollouts(Instant now);
   [[nodiscard]] bool KnowsPool(const std::string& pool) const;
-  /// True if a majority has confirmed lately that this member leads, and its state holds all that
-  /// is acknowledged.
-  [[nodiscard]] bool Confirmed(Instant now) const;
-  /// True if it is confirmed; if not, replies so.
-  [[nodiscard]] bool LeadsForSure(const ReplyFn& reply) const;
-  /// Following a leader, this member has applied what the server's call says: it needs no leader.
-  /// Four heartbeats of five tell nothing new at another member; with 3,000 servers that were 2,000
-  /// calls a second passed on to the leader.
-  [[nodiscard]] bool KnowsAlready(const wire::ServerRecord& record) const;
-  /// True if a server's call says what the state doesn't: also that it is cold for longer than it
-  /// said last, which takes a clock.
-  [[nodiscard]] bool TellsNews(const wire::ServerRecord& record) const;
-  /// Notes until when servers that changed after `index` said that they are cold.
-  void ExpectWarmth(std::int64_t index, Instant now);
-  /// A snapshot took the place of the state: what is derived from it is worked out anew.
+  /// Returns true if a majority has recently confirmed that this member leads and its state holds
+  /// all acknowledged entries.
+  [[nodiscard]] bool IsConfirmedLeader(Instant now) const;
+  /// Returns whether this member is confirmed as leader; if it isn't, replies with an error.
+  [[nodiscard]] bool RequireConfirmedLeader(const ReplyFn& reply) const;
+  /// Returns true if this member follows a leader and its state already holds what a server's
+  /// heartbeat reports, so that the leader isn't needed. Four of five heartbeats report nothing new
+  /// to a member that doesn't lead; with 3,000 servers, forwarding them would make 2,000 requests
+  /// per second to the leader.
+  [[nodiscard]] bool IsAlreadyApplied(const wire::ServerRecord& record) const;
+  /// Returns true if a server's heartbeat differs from the state, or if the server will be cold
+  /// for longer than it last reported, which is judged on this member's clock.
+  [[nodiscard]] bool HasServerChange(const wire::ServerRecord& record) const;
+  /// Updates the end of the cold time of the servers that changed after log index `index`.
+  void UpdateColdTimes(std::int64_t index, Instant now);
+  /// Recomputes what is derived from the state after a snapshot replaced it.
   void OnStateReplaced();
-  void ReadColdLimits();
+  void ReadSlowStartLimits();
 
   EventLoop& m_loop;
   DaemonSettings m_settings;
@@ -208,40 +235,40 @@
   std::unique_ptr<LogWriter> m_writer;
   StateMachine m_machine;
   InstanceTable m_table;
-  SlotBrokerService m_places;
+  SlotBrokerService m_slot_broker;
   RolloutController m_rollouts;
-  ColdLimitReader m_cold_limit_reader;
-  std::map<std::string, Instant> m_cold_until;  ///< By server, as each said last.
-  RegistrationLimit m_registry;
+  SlowStartLimitReader m_slow_start_limit_reader;
+  std::map<std::string, Instant> m_cold_until;  ///< End of each server's last reported cold time.
+  RegistrationLimit m_registration_limit;
   std::map<std::string, std::unique_ptr<PeerClient>> m_peers;  ///< By member name.
-  std::map<MemberId, std::string> m_names;                     ///< Learned from messages.
+  std::map<MemberId, std::string> m_member_names;              ///< Names learned from messages.
   ClusterBootstrap m_bootstrap;
-  std::map<std::string, wire::MemberInfo> m_joining;  ///< Members that asked to join, by name.
-  LogEffects m_effects;                               ///< What the next flush performs.
-  LogEffects m_unsaved;                  ///< Of effects performed, what the next save takes.
-  std::vector<wire::LogMessage> m_held;  ///< Until what they rest on is durable.
+  std::map<std::string, wire::MemberInfo> m_joining;  ///< Members that requested to join, by name.
+  LogEffects m_effects;                               ///< Effects queued for the next flush.
+  LogEffects m_unsaved;                      ///< Processed effects that the next save writes.
+  std::vector<wire::LogMessage> m_deferred;  ///< Messages that depend on state not durable yet.
   bool m_flush_due = false;
-  bool m_disk_full = false;     ///< This member takes no part meanwhile.
-  Instant m_disk_full_since{};  ///< Zero: it isn't.
+  bool m_disk_full = false;     ///< While it is set, this member takes no part in the log.
+  Instant m_disk_full_since{};  ///< Zero if the disk isn't full.
   Instant m_disk_retry{};
   Mailbox<int> m_flusher;
-  std::map<std::int64_t, Slot> m_pending;  ///< By log index.
-  std::vector<ParkedPoll> m_polls;
+  std::map<std::int64_t, PendingCommand> m_pending;  ///< By log index.
+  std::vector<PendingPoll> m_polls;
   DocumentHistory m_document_history;
-  std::optional<DocumentOrder> m_proposed_document;  ///< Under way.
-  std::optional<DocumentOrder> m_waiting_document;   ///< Comes after it.
-  Instant m_servers_told{};  ///< When parked polls last got changes of servers.
+  std::optional<DocumentOrder> m_proposed_document;  ///< The proposal in progress.
+  std::optional<DocumentOrder> m_waiting_document;   ///< Proposed after `m_proposed_document`.
+  Instant m_servers_sent{};  ///< When pending polls last got changes of servers.
   Instant m_hello_due{};
-  std::int64_t m_proposing_until = 0;  ///< Leader's own proposals up to here are under way.
+  std::int64_t m_last_own_proposal = 0;  ///< Last log index of the leader's own open proposals.
   std::uint64_t m_syncs = 0;
   DurationHistogram m_sync_times;
   std::uint64_t m_entries_synced = 0;
-  std::map<MemberId, std::int64_t> m_sent_until;  ///< Last log index that each was sent.
-  std::uint64_t m_log_bytes = 0;                  ///< Of entries sent to members.
-  std::uint64_t m_log_bytes_again = 0;            ///< Of those, sent before to the same member.
-  std::uint64_t m_beats_refused = 0;              ///< As a leader that wasn't confirmed.
-  std::uint64_t m_news_answers = 0;               ///< To questions for news.
-  std::uint64_t m_news_bytes = 0;                 ///< Of documents in them.
+  std::map<MemberId, std::int64_t> m_sent_until;  ///< Last log index sent to each member.
+  std::uint64_t m_log_bytes = 0;                  ///< Bytes of entries sent to members.
+  std::uint64_t m_log_bytes_resent = 0;     ///< Those of `m_log_bytes` sent to the member before.
+  std::uint64_t m_heartbeats_rejected = 0;  ///< Heartbeats rejected by an unconfirmed leader.
+  std::uint64_t m_poll_responses = 0;       ///< Responses to hosted polls.
+  std::uint64_t m_document_bytes_sent = 0;  ///< Bytes of document changes sent.
 };
 
 }  // namespace poppyway
--- a/apps/poppywayd/member_status.cc
+++ b/apps/poppywayd/member_status.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What a member tells operators: objects, status, metrics.
+// The parts of a member that operators read: objects, status and metrics.
 
 #include "broker_convert.h"
 #include "member_service.h"
@@ -8,7 +8,7 @@
 namespace poppyway {
 
 void MemberService::OnObjects(const wire::ObjectsRequest& request, const ReplyFn& reply) {
-  if (!Confirmed(ReadClock())) {
+  if (!IsConfirmedLeader(ReadClock())) {
     reply(NotLeader());
     return;
   }
@@ -86,10 +86,10 @@
   metrics.Set("poppyway_log_entries_synced", "", static_cast<double>(m_entries_synced));
   metrics.Set("poppyway_log_disk_full", "", m_disk_full ? 1 : 0);
   metrics.Set("poppyway_log_sent_bytes", "", static_cast<double>(m_log_bytes));
-  metrics.Set("poppyway_log_sent_again_bytes", "", static_cast<double>(m_log_bytes_again));
-  metrics.Set("poppyway_heartbeats_unconfirmed", "", static_cast<double>(m_beats_refused));
-  metrics.Set("poppyway_news_answers", "", static_cast<double>(m_news_answers));
-  metrics.Set("poppyway_news_document_bytes", "", static_cast<double>(m_news_bytes));
+  metrics.Set("poppyway_log_sent_again_bytes", "", static_cast<double>(m_log_bytes_resent));
+  metrics.Set("poppyway_heartbeats_unconfirmed", "", static_cast<double>(m_heartbeats_rejected));
+  metrics.Set("poppyway_news_answers", "", static_cast<double>(m_poll_responses));
+  metrics.Set("poppyway_news_document_bytes", "", static_cast<double>(m_document_bytes_sent));
   metrics.Set("poppyway_ledger_keys", "", static_cast<double>(m_machine.m_ledger.m_keys.size()));
   metrics.Set("poppyway_ledger_kept_bytes", "",
               static_cast<double>(m_machine.m_ledger.m_stored_answer_bytes));
@@ -99,8 +99,8 @@
     if (status.running >= 0)
       metrics.Set("poppyway_evacuated_running", label, status.running);
   }
-  m_places.AddMetrics(metrics);
-  m_registry.AddMetrics(metrics);
+  m_slot_broker.AddMetrics(metrics);
+  m_registration_limit.AddMetrics(metrics);
 }
 
 }  // namespace poppyway
--- a/apps/poppywayd/rollout_controller.cc
+++ b/apps/poppywayd/rollout_controller.cc
@@ -7,12 +7,13 @@
 namespace poppyway {
 namespace {
 
-// Exposure is let out in steps of some requests: 5 entries of the log a second at most.
-constexpr Duration kTellInterval{200'000};
-// A decision that isn't applied by then was lost with its entry.
-constexpr Duration kDecideAgain{300'000};
-// Operators send an order again for at most as long as they wait for its acknowledgement.
-constexpr Duration kRepeatTime{6'000'000};
+// The allowed number of requests to the target version is raised in steps of several requests, with
+// at most 5 log entries per second for each roll-out.
+constexpr Duration kProgressInterval{200'000};
+// A decision that isn't applied by then is proposed again, since its log entry was lost.
+constexpr Duration kStageRetryInterval{300'000};
+// Operators retry an order for at most as long as they wait for its acknowledgement.
+constexpr Duration kOrderRetryWindow{6'000'000};
 constexpr Duration kLogInterval{1'000'000};
 
 wire::RolloutStage::type StageAfter(RolloutDecision decision, wire::RolloutStage::type now) {
@@ -31,7 +32,7 @@
 
 void LogTrial(const char* event,
               const wire::Rollout& rollout,
-              const RolloutObservation& sight,
+              const RolloutObservation& observation,
               Duration left,
               std::string_view why) {
   POPPYWAY_LOG(info, event)
@@ -39,14 +40,14 @@
       .Field("version", rollout.target)
       .Field("number", rollout.number)
       .Field("stage", static_cast<int>(rollout.stage))
-      .Field("finding", TrialFindingName(sight.m_finding))
+      .Field("finding", TrialFindingName(observation.m_finding))
       .Field("why", why)
-      .Field("requests", sight.m_requests)
-      .Field("sent", sight.m_sent)
+      .Field("requests", observation.m_requests)
+      .Field("sent", observation.m_sent)
       .Field("allowed", rollout.allowed)
-      .Field("runs", sight.m_runs)
-      .Field("bad_runs", sight.m_bad_runs)
-      .Field("others_busy", sight.m_others_busy)
+      .Field("runs", observation.m_runs)
+      .Field("bad_runs", observation.m_bad_runs)
+      .Field("others_busy", observation.m_others_busy)
       .Field("left_ms", left.count() / 1000);
 }
 
@@ -62,20 +63,20 @@
     }
     watch = {};
     watch.m_number = rollout.number;
-    watch.m_seen = now;
+    watch.m_first_applied = now;
     watch.m_deadline = deadline;
   }
 }
 
 std::vector<wire::RolloutStep> RolloutController::DueSteps(const HostedState& state,
-                                                           const SlotBrokerService& places,
+                                                           const SlotBrokerService& slot_broker,
                                                            Instant now) {
   std::vector<wire::RolloutStep> steps;
   for (const auto& [pool, rollout] : state.m_rollouts) {
     const auto watch = m_watches.find(pool);
     if (!IsRolloutActive(rollout) || watch == m_watches.end())
       continue;
-    if (std::optional<wire::RolloutStep> step = DueStep(rollout, watch->second, places, now))
+    if (std::optional<wire::RolloutStep> step = DueStep(rollout, watch->second, slot_broker, now))
       steps.push_back(std::move(*step));
   }
   return steps;
@@ -83,42 +84,42 @@
 
 std::optional<wire::RolloutStep> RolloutController::DueStep(const wire::Rollout& rollout,
                                                             Watch& watch,
-                                                            const SlotBrokerService& places,
+                                                            const SlotBrokerService& slot_broker,
                                                             Instant now) {
-  const RolloutObservation sight = places.ObserveRollout(rollout.pool);
+  const RolloutObservation observation = slot_broker.ObserveRollout(rollout.pool);
   const Duration left = watch.m_deadline - now;
-  RolloutInputs view;
-  view.m_moving = rollout.stage == wire::RolloutStage::MOVING;
-  view.m_finding = sight.m_finding;
-  view.m_others_left = sight.m_others_left;
-  view.m_others_busy = sight.m_others_busy;
-  view.m_service = sight.m_service;
-  view.m_duration = std::chrono::milliseconds(rollout.duration_ms);
-  view.m_left = left;
+  RolloutInputs inputs;
+  inputs.m_moving = rollout.stage == wire::RolloutStage::MOVING;
+  inputs.m_finding = observation.m_finding;
+  inputs.m_others_left = observation.m_others_left;
+  inputs.m_others_busy = observation.m_others_busy;
+  inputs.m_service = observation.m_service;
+  inputs.m_duration = std::chrono::milliseconds(rollout.duration_ms);
+  inputs.m_left = left;
   std::string_view why;
-  const RolloutDecision decision = DecideRollout(view, why);
+  const RolloutDecision decision = DecideRollout(inputs, why);
   if (now - watch.m_logged >= kLogInterval) {
     watch.m_logged = now;
-    LogTrial("rollout_trial", rollout, sight, left, why);
+    LogTrial("rollout_trial", rollout, observation, left, why);
   }
   wire::RolloutStep step;
   step.pool = rollout.pool;
   step.number = rollout.number;
   step.stage = StageAfter(decision, rollout.stage);
   step.left_ms = std::max<std::int64_t>(0, left.count() / 1000);
-  step.requests = std::max(rollout.requests, sight.m_requests);
+  step.requests = std::max(rollout.requests, observation.m_requests);
   step.allowed = std::max(rollout.allowed, AllowedBy(m_bounds, step.requests));
   step.why = why;
   if (step.stage != rollout.stage) {
-    if (now - watch.m_decided < kDecideAgain)
+    if (now - watch.m_stage_proposed < kStageRetryInterval)
       return std::nullopt;
-    watch.m_decided = now;
-    LogTrial("rollout_decided", rollout, sight, left, why);
+    watch.m_stage_proposed = now;
+    LogTrial("rollout_decided", rollout, observation, left, why);
     return step;
   }
-  if (now - watch.m_told < kTellInterval)
+  if (now - watch.m_progress_proposed < kProgressInterval)
     return std::nullopt;
-  watch.m_told = now;
+  watch.m_progress_proposed = now;
   return step;
 }
 
@@ -131,7 +132,7 @@
     return false;
   const bool same =
       rollout->second.target == order.target && rollout->second.duration_ms == order.duration_ms;
-  return same && now - watch->second.m_seen < kRepeatTime;
+  return same && now - watch->second.m_first_applied < kOrderRetryWindow;
 }
 
 }  // namespace poppyway
--- a/apps/poppywayd/rollout_controller.h
+++ b/apps/poppywayd/rollout_controller.h
@@ -13,44 +13,46 @@
 
 namespace poppyway {
 
-/// \brief A member's part in roll-outs: their deadlines on its own steady clock, and, while it
-/// leads, the decisions that are due. Belongs to the control task.
+/// \brief Tracks the deadlines of roll-outs on the member's own steady clock and, on the leader,
+/// makes the decisions that are due. Not thread-safe: it belongs to the control task.
 ///
-/// All that a decision rests on beyond the log is evidence at the broker, which a new leader has
-/// to gather anew; how many requests the target version may get is in the log before it gets them.
+/// Besides the log, a decision depends only on the broker's observations, which a new leader has to
+/// collect again. The number of requests that the target version may get is committed to the log
+/// before it gets them.
 class RolloutController {
  public:
   explicit RolloutController(const ExposureBounds& bounds) : m_bounds(bounds) {}
 
-  /// Entries were applied, or a snapshot was loaded. A member that follows keeps time too, so that
-  /// a new leader knows the deadline.
+  /// Updates the deadlines after entries were applied or a snapshot was loaded. Followers track
+  /// them too, so that a new leader knows them.
   void OnApplied(const HostedState& state, Instant now);
 
-  /// This member leads: what is to be proposed now.
+  /// Returns the steps that are to be proposed now. Precondition: this member leads.
   [[nodiscard]] std::vector<wire::RolloutStep> DueSteps(const HostedState& state,
-                                                        const SlotBrokerService& places,
+                                                        const SlotBrokerService& slot_broker,
                                                         Instant now);
 
-  /// True if `order` is that of the pool's last roll-out, which was ordered a short while ago: the
-  /// operator got no answer and sends it again. It begins nothing, also where that one has ended.
+  /// Returns true if `order` repeats the order of the pool's last roll-out within a few seconds, as
+  /// an operator does who got no response. Such an order starts no new roll-out, even if the last
+  /// one has ended.
   [[nodiscard]] bool IsRetriedOrder(const HostedState& state,
                                     const wire::RolloutOrder& order,
                                     Instant now) const;
 
  private:
-  /// One roll-out as this member has seen it.
+  /// This member's times of one roll-out.
   struct Watch {
     std::int64_t m_number = 0;
-    Instant m_seen{};
+    Instant m_first_applied{};  ///< When this member first applied it.
     Instant m_deadline{};
-    Instant m_told{};     ///< When its progress was last proposed.
-    Instant m_decided{};  ///< When its next stage was last proposed.
+    Instant m_progress_proposed{};  ///< When its progress was last proposed.
+    Instant m_stage_proposed{};     ///< When its next stage was last proposed.
     Instant m_logged{};
   };
 
   [[nodiscard]] std::optional<wire::RolloutStep> DueStep(const wire::Rollout& rollout,
                                                          Watch& watch,
-                                                         const SlotBrokerService& places,
+                                                         const SlotBrokerService& slot_broker,
                                                          Instant now);
 
   ExposureBounds m_bounds;
--- a/apps/poppywayd/slot_broker_service.cc
+++ b/apps/poppywayd/slot_broker_service.cc
@@ -9,60 +9,64 @@
 namespace poppyway {
 namespace {
 
-// Each heartbeat and batch says that an instance lives; heartbeats come every half second.
-constexpr Duration kHolderLease{3'000'000};
-// An instance whose connection was reset connects anew and tells what it holds within some ms; one
-// that died never does, and its servers have seen its connections close too.
-constexpr Duration kReturnTime{300'000};
-// Of an instance in a data centre that is held to be lost: two heartbeats and some delay. What it
-// still runs, it runs at servers of that data centre, which get nothing new.
-constexpr Duration kLostHolderLease{1'200'000};
-// What waits is tried on all servers this often, beside each place that comes free.
-constexpr Duration kServeInterval{20'000};
+// An instance without a heartbeat or batch for longer is gone; heartbeats come every half second.
+constexpr Duration kInstanceTimeout{3'000'000};
+// An instance whose connection was reset reconnects and reports its slots within a few
+// milliseconds. A crashed instance never does, and its connections to backend servers are closed
+// too.
+constexpr Duration kReconnectTimeout{300'000};
+// This applies to an instance in a data centre that is suspected to be lost: two heartbeats and
+// some delay. The requests that it may still run are at servers of that data centre, which get no
+// new ones.
+constexpr Duration kSuspectInstanceTimeout{1'200'000};
+// Waiting requests are tried on all servers at this interval, and whenever a slot becomes free.
+constexpr Duration kTickInterval{20'000};
 
-// Servers that turned cold or warm, named one by one at one look; of more the number.
-constexpr std::size_t kMostColdLogged = 16;
+// At most this many servers that became cold or warm are logged individually per tick; if there are
+// more, their number is logged too.
+constexpr std::size_t kMaxColdLogged = 16;
 
-// A line on each pool this often.
+// Each pool and each round-trip time is logged at this interval.
 constexpr Duration kLogInterval{1'000'000};
 
-/// What a pool comes to.
-struct PoolSums {
-  int m_servers = 0;  ///< That take new work.
-  int m_ejected = 0;  ///< Of those, kept from it for failures.
+/// Totals over the servers of a pool that accept new requests.
+struct PoolTotals {
+  int m_servers = 0;
+  int m_ejected = 0;  ///< Servers that get no requests because of failures or an outage.
   int m_slots = 0;
-  int m_taken = 0;
-  int m_cold = 0;         ///< That are, or may be, cold.
-  int m_backing_off = 0;  ///< That have asked some instance to send nothing for a while.
+  int m_in_flight = 0;
+  int m_cold = 0;         ///< Servers that are, or may be, cold.
+  int m_backing_off = 0;  ///< Servers that asked an instance to send nothing for a while.
 };
 
-PoolSums SumOf(const OutageDetector& outages, const SlotPool& pool, Instant now) {
-  PoolSums sums;
+PoolTotals TotalsOf(const OutageDetector& outages, const SlotPool& pool, Instant now) {
+  PoolTotals totals;
   for (std::size_t i = 0; i < pool.m_servers.size(); ++i) {
     if (pool.m_servers[i].m_leaving || pool.m_servers[i].m_evacuated)
       continue;
-    ++sums.m_servers;
-    const bool lost =
+    ++totals.m_servers;
+    const bool suspect =
         IsServerSuspect(outages, pool.m_servers[i].m_data_centre, pool.m_servers[i].m_id);
-    sums.m_ejected += lost || IsEjected(pool.m_health[i], now) ? 1 : 0;
-    sums.m_slots += pool.m_views[i].m_slots;
-    sums.m_cold +=
+    totals.m_ejected += suspect || IsEjected(pool.m_health[i], now) ? 1 : 0;
+    totals.m_slots += pool.m_views[i].m_slots;
+    totals.m_cold +=
         pool.m_slow_start_limit.m_per_s > 0 && IsCold(pool.m_slow_starts[i], now) ? 1 : 0;
-    sums.m_backing_off += AnyBackOff(pool.m_notices[i], now) ? 1 : 0;
-    sums.m_taken += pool.m_views[i].m_other_in_flight;
+    totals.m_backing_off += AnyBackOff(pool.m_notices[i], now) ? 1 : 0;
+    totals.m_in_flight += pool.m_views[i].m_other_in_flight;
   }
-  return sums;
+  return totals;
 }
 
-/// Of several servers at one address only the latest is there.
+/// Returns the registered servers that have a pool. Of several servers at one address only the
+/// latest takes new requests; the others count as leaving.
 std::vector<BackendServer> PresentServers(const HostedState& state, const RegionMap& regions) {
   std::map<std::pair<std::string, int>, const wire::ServerRecord*> latest;
   for (const auto& [id, record] : state.m_servers) {
     const wire::ServerRecord*& known = latest[{record.address, record.port}];
-    const bool first_seen = known == nullptr || record.stage == wire::ServerStage::READY ||
-                            known->stage != wire::ServerStage::READY;
+    const bool preferred = known == nullptr || record.stage == wire::ServerStage::READY ||
+                           known->stage != wire::ServerStage::READY;
     const bool later = known == nullptr || record.index > known->index;
-    if (first_seen && later)
+    if (preferred && later)
       known = &record;
   }
   std::vector<BackendServer> servers;
@@ -77,7 +81,7 @@
   return servers;
 }
 
-std::vector<SlotRollout> RolloutsUnderWay(const HostedState& state) {
+std::vector<SlotRollout> ActiveRollouts(const HostedState& state) {
   std::vector<SlotRollout> rollouts;
   for (const auto& [pool, rollout] : state.m_rollouts) {
     if (IsRolloutActive(rollout))
@@ -98,7 +102,7 @@
   const auto seed = static_cast<std::uint64_t>(now.time_since_epoch().count());
   m_broker = MakeSlotBroker(term, seed, may_serve, now);
   SetRegions(*m_broker, m_regions);
-  m_lines.clear();
+  m_connections.clear();
   UpdateServers(servers, now);
   POPPYWAY_LOG(info, "broker_began").Field("epoch", term);
 }
@@ -108,15 +112,15 @@
     return;
   POPPYWAY_LOG(info, "broker_ended").Field("epoch", m_broker->m_epoch);
   m_broker.reset();
-  m_lines.clear();
+  m_connections.clear();
 }
 
-void SlotBrokerService::UpdateColdLimits(std::map<std::string, SlowStartLimit> limits,
-                                         Instant now) {
-  m_cold_limits = std::move(limits);
+void SlotBrokerService::UpdateSlowStartLimits(std::map<std::string, SlowStartLimit> limits,
+                                              Instant now) {
+  m_slow_start_limits = std::move(limits);
   if (!m_broker)
     return;
-  SetSlowStartLimits(*m_broker, m_cold_limits);
+  SetSlowStartLimits(*m_broker, m_slow_start_limits);
   UpdateSlowStart(*m_broker, now);
 }
 
@@ -124,35 +128,36 @@
   if (!m_broker)
     return;
   SetServers(*m_broker, PresentServers(servers, m_regions));
-  SetSlowStartLimits(*m_broker, m_cold_limits);
+  SetSlowStartLimits(*m_broker, m_slow_start_limits);
   UpdateSlowStart(*m_broker, now);
-  SetRollouts(*m_broker, RolloutsUnderWay(servers), m_bounds);
+  SetRollouts(*m_broker, ActiveRollouts(servers), m_bounds);
 }
 
 RolloutObservation SlotBrokerService::ObserveRollout(const std::string& pool) const {
-  RolloutObservation sight;
+  RolloutObservation observation;
   if (!m_broker)
-    return sight;
+    return observation;
   const auto found = m_broker->m_pools.find(pool);
   if (found == m_broker->m_pools.end() || !found->second.m_trial)
-    return sight;
+    return observation;
   const RolloutTrial& trial = *found->second.m_trial;
-  sight.m_finding = trial.m_finding;
-  sight.m_requests = trial.m_requests;
-  sight.m_sent = trial.m_sent;
-  sight.m_runs = trial.m_runs;
-  sight.m_bad_runs = trial.m_bad_runs;
-  sight.m_service =
+  observation.m_finding = trial.m_finding;
+  observation.m_requests = trial.m_requests;
+  observation.m_sent = trial.m_sent;
+  observation.m_runs = trial.m_runs;
+  observation.m_bad_runs = trial.m_bad_runs;
+  observation.m_service =
       Duration(static_cast<std::int64_t>(found->second.m_typical.m_service_ms * 1000));
-  sight.m_others_left = false;
-  sight.m_others_busy = false;
+  observation.m_others_left = false;
+  observation.m_others_busy = false;
   for (std::size_t i = 0; i < found->second.m_servers.size(); ++i) {
     if (found->second.m_servers[i].m_version == trial.m_target)
       continue;
-    sight.m_others_left = sight.m_others_left || !found->second.m_servers[i].m_leaving;
-    sight.m_others_busy = sight.m_others_busy || found->second.m_views[i].m_other_in_flight > 0;
+    observation.m_others_left = observation.m_others_left || !found->second.m_servers[i].m_leaving;
+    observation.m_others_busy =
+        observation.m_others_busy || found->second.m_views[i].m_other_in_flight > 0;
   }
-  return sight;
+  return observation;
 }
 
 std::optional<int> SlotBrokerService::CountRunningIn(const std::string& data_centre) const {
@@ -178,14 +183,14 @@
     wire::Envelope envelope;
     envelope.id = 0;
     envelope.reply = true;
-    wire::PlaceAnswers refusal;
-    refusal.epoch = batch.epoch;
-    refusal.not_broker = true;
-    envelope.body.__set_place_answers(refusal);
+    wire::PlaceAnswers rejection;
+    rejection.epoch = batch.epoch;
+    rejection.not_broker = true;
+    envelope.body.__set_place_answers(rejection);
     from.Send(envelope);
     return;
   }
-  m_lines[batch.incarnation] = {from.weak_from_this(), Instant{}};
+  m_connections[batch.incarnation] = {from.weak_from_this(), Instant{}};
   std::vector<SlotResponse> answers;
   ApplyBatch(*m_broker, batch.incarnation, FromWire(batch), now, answers);
   Send(answers);
@@ -206,9 +211,9 @@
     by_holder[answer.m_instance].answers.push_back(ToWire(answer));
   }
   for (auto& [holder, batch] : by_holder) {
-    const std::shared_ptr<PeerConnection> connection = m_lines[holder].m_connection.lock();
+    const std::shared_ptr<PeerConnection> connection = m_connections[holder].m_connection.lock();
     if (!connection)
-      continue;  // It tells anew what it holds, or its places come free with its lease.
+      continue;  // The instance's resync or removal frees the slots.
     batch.epoch = epoch();
     wire::Envelope envelope;
     envelope.id = 0;
@@ -218,19 +223,20 @@
   }
 }
 
-void SlotBrokerService::DropGone(Instant now) {
+void SlotBrokerService::RemoveGoneInstances(Instant now) {
   std::vector<std::string> gone;
   for (const auto& [incarnation, holder] : m_broker->m_instance_slots) {
-    Line& line = m_lines[incarnation];
-    const std::shared_ptr<PeerConnection> connection = line.m_connection.lock();
+    InstanceConnection& instance = m_connections[incarnation];
+    const std::shared_ptr<PeerConnection> connection = instance.m_connection.lock();
     const bool open = connection && connection->open();
     if (open)
-      line.m_lost = Instant{};
-    else if (line.m_lost == Instant{})
-      line.m_lost = now;
-    const bool left = !open && now - line.m_lost >= kReturnTime;
-    const bool lost = IsDataCentreSuspect(m_broker->m_outages, holder.m_data_centre);
-    if (left || now - holder.m_last_heard >= (lost ? kLostHolderLease : kHolderLease))
+      instance.m_closed_at = Instant{};
+    else if (instance.m_closed_at == Instant{})
+      instance.m_closed_at = now;
+    const bool disconnected = !open && now - instance.m_closed_at >= kReconnectTimeout;
+    const bool suspect = IsDataCentreSuspect(m_broker->m_outages, holder.m_data_centre);
+    if (disconnected ||
+        now - holder.m_last_heard >= (suspect ? kSuspectInstanceTimeout : kInstanceTimeout))
       gone.push_back(incarnation);
   }
   std::vector<SlotResponse> answers;
@@ -238,27 +244,27 @@
     POPPYWAY_LOG(info, "holder_gone")
         .Field("incarnation", incarnation)
         .Field("held", m_broker->m_instance_slots[incarnation].m_held.size());
-    m_lines.erase(incarnation);
+    m_connections.erase(incarnation);
     RemoveInstance(*m_broker, incarnation, now, answers);
   }
   Send(answers);
 }
 
-void SlotBrokerService::TellOutages() {
-  wire::PlaceAnswers news;
-  news.epoch = epoch();
+void SlotBrokerService::SendOutages() {
+  wire::PlaceAnswers update;
+  update.epoch = epoch();
   std::vector<std::string> suspects;
-  for (const auto& [data_centre, sight] : m_broker->m_outages.m_data_centres) {
-    if (sight.m_suspect && sight.m_recovered.empty())
+  for (const auto& [data_centre, outage] : m_broker->m_outages.m_data_centres) {
+    if (outage.m_suspect && outage.m_recovered.empty())
       suspects.push_back(data_centre);
   }
-  news.__set_suspects(suspects);
+  update.__set_suspects(suspects);
   wire::Envelope envelope;
   envelope.id = 0;
   envelope.reply = true;
-  envelope.body.__set_place_answers(news);
-  for (const auto& [incarnation, line] : m_lines) {
-    const std::shared_ptr<PeerConnection> connection = line.m_connection.lock();
+  envelope.body.__set_place_answers(update);
+  for (const auto& [incarnation, instance] : m_connections) {
+    const std::shared_ptr<PeerConnection> connection = instance.m_connection.lock();
     if (connection && connection->open())
       connection->Send(envelope);
   }
@@ -282,18 +288,18 @@
         .Field("after_ms", event.m_silence.count() / 1000);
   }
   m_broker->m_outage_events.clear();
-  TellOutages();
+  SendOutages();
 }
 
 void SlotBrokerService::Tick(Instant now) {
-  if (!m_broker || now - m_served < kServeInterval)
+  if (!m_broker || now - m_last_tick < kTickInterval)
     return;
-  m_served = now;
+  m_last_tick = now;
   std::vector<SlotResponse> answers;
   TickBroker(*m_broker, now, answers);
   Send(answers);
   LogOutages();
-  DropGone(now);
+  RemoveGoneInstances(now);
   for (const EjectedServer& avoided : m_broker->m_ejected) {
     POPPYWAY_LOG(info, "server_avoided")
         .Field("server", avoided.m_server)
@@ -321,7 +327,7 @@
       if (cold == slow_start.m_logged)
         continue;
       slow_start.m_logged = cold;
-      if (++changed > kMostColdLogged)
+      if (++changed > kMaxColdLogged)
         continue;
       POPPYWAY_LOG(info, cold ? "server_cold" : "server_warm")
           .Field("server", pool.m_servers[i].m_id)
@@ -331,27 +337,27 @@
           .Field("sent_last_s", slow_start.m_sent.size());
     }
   }
-  if (changed > kMostColdLogged)
+  if (changed > kMaxColdLogged)
     POPPYWAY_LOG(info, "servers_cold_changed").Field("servers", changed);
 }
 
 void SlotBrokerService::LogPools(Instant now) {
-  if (now - m_logged < kLogInterval)
+  if (now - m_last_pool_log < kLogInterval)
     return;
-  m_logged = now;
+  m_last_pool_log = now;
   for (const auto& [name, pool] : m_broker->m_pools) {
-    const PoolSums sums = SumOf(m_broker->m_outages, pool, now);
-    if (sums.m_slots == 0)
+    const PoolTotals totals = TotalsOf(m_broker->m_outages, pool, now);
+    if (totals.m_slots == 0)
       continue;
     POPPYWAY_LOG(info, "places")
         .Field("pool", name)
-        .Field("servers", sums.m_servers)
-        .Field("avoided", sums.m_ejected)
-        .Field("cold", sums.m_cold)
-        .Field("backing_off", sums.m_backing_off)
+        .Field("servers", totals.m_servers)
+        .Field("avoided", totals.m_ejected)
+        .Field("cold", totals.m_cold)
+        .Field("backing_off", totals.m_backing_off)
         .Field("cold_waits", m_broker->m_cold_waits[name])
-        .Field("slots", sums.m_slots)
-        .Field("taken", sums.m_taken)
+        .Field("slots", totals.m_slots)
+        .Field("taken", totals.m_in_flight)
         .Field("waiting", pool.m_waiting.size())
         .Field("holders", m_broker->m_instance_slots.size())
         .Field("heard_share", ReachableShare(*m_broker));
@@ -387,12 +393,12 @@
                 "from=\"" + pair.first + "\",to=\"" + pair.second + "\"", Seconds(trip));
   for (const auto& [name, pool] : m_broker->m_pools) {
     const std::string label = "pool=\"" + name + "\"";
-    const PoolSums sums = SumOf(m_broker->m_outages, pool, ReadClock());
-    metrics.Set("poppyway_place_slots", label, sums.m_slots);
-    metrics.Set("poppyway_place_taken", label, sums.m_taken);
-    metrics.Set("poppyway_place_avoided", label, sums.m_ejected);
-    metrics.Set("poppyway_place_cold", label, sums.m_cold);
-    metrics.Set("poppyway_place_backing_off", label, sums.m_backing_off);
+    const PoolTotals totals = TotalsOf(m_broker->m_outages, pool, ReadClock());
+    metrics.Set("poppyway_place_slots", label, totals.m_slots);
+    metrics.Set("poppyway_place_taken", label, totals.m_in_flight);
+    metrics.Set("poppyway_place_avoided", label, totals.m_ejected);
+    metrics.Set("poppyway_place_cold", label, totals.m_cold);
+    metrics.Set("poppyway_place_backing_off", label, totals.m_backing_off);
     const auto waits = m_broker->m_cold_waits.find(name);
     if (waits != m_broker->m_cold_waits.end())
       metrics.Set("poppyway_place_cold_waits_total", label, static_cast<double>(waits->second));
--- a/apps/poppywayd/slot_broker_service.h
+++ b/apps/poppywayd/slot_broker_service.h
@@ -15,77 +15,83 @@
 
 namespace poppyway {
 
-/// \brief A roll-out as the broker sees it.
+/// \brief The broker's observations of a roll-out.
 struct RolloutObservation {
   TrialFinding m_finding = TrialFinding::kTooLittle;
-  std::int64_t m_requests = 0;  ///< To the pool since the order.
-  std::int64_t m_sent = 0;      ///< Of those, to the target version.
+  std::int64_t m_requests = 0;  ///< Requests to the pool since the order.
+  std::int64_t m_sent = 0;      ///< Those of `m_requests` that went to the target version.
   std::int64_t m_runs = 0;
   std::int64_t m_bad_runs = 0;
-  bool m_others_left = true;
-  bool m_others_busy = true;
-  Duration m_service{};  ///< Usual time of an answer of the pool.
+  bool m_others_left = true;  ///< Servers of other versions remain that aren't leaving.
+  bool m_others_busy = true;  ///< Servers of other versions have requests in flight.
+  Duration m_service{};       ///< Typical service time of the pool.
 
   friend bool operator==(const RolloutObservation&, const RolloutObservation&) = default;
 };
 
-/// \brief A leading member's broker of places: its lines to the instances. It begins and ends with
-/// the lead, whose term is its epoch. Belongs to the control task.
+/// \brief Runs the slot broker of a leading member and its connections to the instances. The broker
+/// exists while the member leads; its epoch is the leader's term. Not thread-safe: it belongs to
+/// the control task.
 class SlotBrokerService {
  public:
-  /// \param regions of all data centres.
+  /// \param regions the regions of all data centres.
   SlotBrokerService(const ExposureBounds& bounds, RegionMap regions)
       : m_bounds(bounds), m_regions(std::move(regions)) {}
 
-  /// This member leads in `term`; `servers` are all that are registered.
-  /// \param may_serve for how long an instance out of touch goes on serving.
+  /// Starts the broker, since this member leads in `term`.
+  /// \param servers the state with all registered servers.
+  /// \param may_serve for how long an instance continues to serve without contact to a leader.
   void OnLeadershipGained(std::int64_t term,
                           const HostedState& servers,
                           Duration may_serve,
                           Instant now);
-  /// It leads no longer: nothing more is given out.
+  /// Stops the broker, since this member no longer leads; no more slots are granted.
   void OnLeadershipLost();
   [[nodiscard]] bool active() const noexcept { return m_broker.has_value(); }
   [[nodiscard]] std::int64_t epoch() const noexcept { return m_broker ? m_broker->m_epoch : 0; }
-  /// The registry, a roll-out or an evacuation has changed.
+  /// Updates the broker after a change of the registry, a roll-out or an evacuation.
   void UpdateServers(const HostedState& servers, Instant now);
-  /// What each pool says of its cold servers has changed; it stays over a change of broker.
-  void UpdateColdLimits(std::map<std::string, SlowStartLimit> limits, Instant now);
-  /// A batch of an instance. Refused unless this broker is the one it means and knows it.
-  /// \param may_decide a majority has confirmed lately that this member leads.
+  /// Replaces the slow-start limits of the pools. They remain in force when the broker restarts.
+  void UpdateSlowStartLimits(std::map<std::string, SlowStartLimit> limits, Instant now);
+  /// Handles a batch of an instance; responses go over `from`. The batch is rejected if it names
+  /// another epoch, comes from an unknown instance without a resync, or if `may_decide` is false.
+  /// \param may_decide a majority has recently confirmed that this member leads.
   void OnBatch(const wire::PlaceBatch& batch, PeerConnection& from, bool may_decide, Instant now);
-  /// An instance was heard of otherwise.
+  /// Records that an instance made contact by other means than a batch.
   void RecordContact(const std::string& incarnation, Instant now);
-  /// Ends waits, forgets instances that are gone. To be called every few ms.
+  /// Expires waiting requests and removes instances that are gone. Call it every few milliseconds.
   void Tick(Instant now);
-  /// What is known of the roll-out of a pool that is under way.
+  /// Returns the observations of a pool's active roll-out, or the defaults if there is none.
   [[nodiscard]] RolloutObservation ObserveRollout(const std::string& pool) const;
-  /// Requests at the servers of a data centre; nullopt: this member isn't the broker.
+  /// Returns the number of requests in flight at the servers of a data centre, or nullopt if this
+  /// member isn't the broker.
   [[nodiscard]] std::optional<int> CountRunningIn(const std::string& data_centre) const;
   void AddMetrics(MetricSet& metrics) const;
 
  private:
-  struct Line {
+  struct InstanceConnection {
     std::weak_ptr<PeerConnection> m_connection;
-    Instant m_lost{};  ///< When its connection was found closed; zero: open.
+    Instant m_closed_at{};  ///< When the connection was found closed; zero if it is open.
   };
 
   void Send(const std::vector<SlotResponse>& answers);
-  void DropGone(Instant now);
-  void TellOutages();
+  /// Removes the instances whose connection is lost or whose last contact is too long ago.
+  void RemoveGoneInstances(Instant now);
+  /// Sends the list of suspect data centres to all instances.
+  void SendOutages();
   void LogOutages();
   void LogPools(Instant now);
   void LogCold(Instant now);
 
   ExposureBounds m_bounds;
   RegionMap m_regions;
-  std::map<std::string, SlowStartLimit> m_cold_limits;  ///< By pool.
+  std::map<std::string, SlowStartLimit> m_slow_start_limits;  ///< By pool.
   std::optional<SlotBroker> m_broker;
-  std::map<std::string, Line> m_lines;  ///< By incarnation.
-  Instant m_served{};
-  Instant m_logged{};
-  std::uint64_t m_verdicts[5] = {};        ///< Answers given, by verdict.
-  std::uint64_t m_outage_changes[4] = {};  ///< By kind.
+  std::map<std::string, InstanceConnection> m_connections;  ///< By incarnation.
+  Instant m_last_tick{};
+  Instant m_last_pool_log{};
+  std::uint64_t m_verdicts[5] = {};        ///< Number of responses, by verdict.
+  std::uint64_t m_outage_changes[4] = {};  ///< Number of changes, by kind.
 };
 
 }  // namespace poppyway
--- a/apps/poppywayd/slot_convert.cc
+++ b/apps/poppywayd/slot_convert.cc
@@ -8,21 +8,21 @@
 namespace poppyway {
 namespace {
 
-/// Rounded up, so that a span that isn't zero stays so.
+/// Converts to milliseconds, rounded up so that no nonzero duration becomes zero.
 std::int32_t ToMillis(Duration duration) {
-  constexpr std::int64_t kMost = std::numeric_limits<std::int32_t>::max();
+  constexpr std::int64_t kMax = std::numeric_limits<std::int32_t>::max();
   const std::int64_t millis = (duration.count() + 999) / 1000;
-  return static_cast<std::int32_t>(std::clamp<std::int64_t>(millis, 0, kMost));
+  return static_cast<std::int32_t>(std::clamp<std::int64_t>(millis, 0, kMax));
 }
 
 Duration FromMillis(std::int32_t millis) {
   return std::chrono::milliseconds(millis);
 }
 
-wire::PlaceSign::type ToWire(const std::optional<HealthSignal>& sign) {
-  if (!sign)
+wire::PlaceSign::type ToWire(const std::optional<HealthSignal>& signal) {
+  if (!signal)
     return wire::PlaceSign::NONE;
-  switch (*sign) {
+  switch (*signal) {
     case HealthSignal::kSuccess:
       return wire::PlaceSign::GOOD;
     case HealthSignal::kFailure:
@@ -33,8 +33,8 @@
   return wire::PlaceSign::NONE;
 }
 
-std::optional<HealthSignal> FromWire(wire::PlaceSign::type sign) {
-  switch (sign) {
+std::optional<HealthSignal> FromWire(wire::PlaceSign::type signal) {
+  switch (signal) {
     case wire::PlaceSign::GOOD:
       return HealthSignal::kSuccess;
     case wire::PlaceSign::BAD:
@@ -47,153 +47,153 @@
 }
 
 wire::PlaceAsk ToWire(const SlotRequest& slot_request) {
-  wire::PlaceAsk sent;
-  sent.ref = slot_request.m_ref;
-  sent.pool = slot_request.m_pool;
-  sent.workspace = slot_request.m_workspace;
-  sent.route = static_cast<std::int64_t>(slot_request.m_route);
-  sent.tier = slot_request.m_tier;
-  sent.rank = slot_request.m_shape.m_tier;
-  sent.prompt_tokens = slot_request.m_shape.m_prompt_tokens;
-  sent.expected_tokens = slot_request.m_expected_tokens;
-  sent.aim_ms = ToMillis(slot_request.m_shape.m_latency_target);
-  sent.waited_ms = ToMillis(slot_request.m_shape.m_waited);
-  sent.left_ms = ToMillis(slot_request.m_shape.m_left);
-  sent.pause_aim_ms = ToMillis(slot_request.m_shape.m_gap_target);
-  sent.wait_ms = ToMillis(slot_request.m_wait);
+  wire::PlaceAsk message;
+  message.ref = slot_request.m_ref;
+  message.pool = slot_request.m_pool;
+  message.workspace = slot_request.m_workspace;
+  message.route = static_cast<std::int64_t>(slot_request.m_route);
+  message.tier = slot_request.m_tier;
+  message.rank = slot_request.m_shape.m_tier;
+  message.prompt_tokens = slot_request.m_shape.m_prompt_tokens;
+  message.expected_tokens = slot_request.m_expected_tokens;
+  message.aim_ms = ToMillis(slot_request.m_shape.m_latency_target);
+  message.waited_ms = ToMillis(slot_request.m_shape.m_waited);
+  message.left_ms = ToMillis(slot_request.m_shape.m_left);
+  message.pause_aim_ms = ToMillis(slot_request.m_shape.m_gap_target);
+  message.wait_ms = ToMillis(slot_request.m_wait);
   for (const PromptSegment& part : slot_request.m_prompt_segments) {
-    wire::PromptPart& sent_part = sent.parts.emplace_back();
+    wire::PromptPart& sent_part = message.parts.emplace_back();
     sent_part.id = static_cast<std::int64_t>(part.m_id);
     sent_part.tokens = static_cast<std::int32_t>(part.m_tokens);
   }
-  sent.tried = slot_request.m_tried;
-  sent.cost = slot_request.m_quota.m_cost;
-  sent.reserve = slot_request.m_quota.m_reserve;
-  sent.limit_rate = slot_request.m_limit.m_rate_per_s;
-  sent.limit_burst = slot_request.m_limit.m_burst;
-  sent.bound = slot_request.m_home_regions.m_restricted;
-  sent.regions = slot_request.m_home_regions.m_regions;
-  return sent;
+  message.tried = slot_request.m_tried;
+  message.cost = slot_request.m_quota.m_cost;
+  message.reserve = slot_request.m_quota.m_reserve;
+  message.limit_rate = slot_request.m_limit.m_rate_per_s;
+  message.limit_burst = slot_request.m_limit.m_burst;
+  message.bound = slot_request.m_home_regions.m_restricted;
+  message.regions = slot_request.m_home_regions.m_regions;
+  return message;
 }
 
-SlotRequest FromWire(const wire::PlaceAsk& sent, const std::string& data_centre) {
+SlotRequest FromWire(const wire::PlaceAsk& message, const std::string& data_centre) {
   SlotRequest slot_request;
-  slot_request.m_ref = sent.ref;
-  slot_request.m_pool = sent.pool;
-  slot_request.m_workspace = sent.workspace;
+  slot_request.m_ref = message.ref;
+  slot_request.m_pool = message.pool;
+  slot_request.m_workspace = message.workspace;
   slot_request.m_data_centre = data_centre;
-  slot_request.m_route = static_cast<RouteKey>(sent.route);
-  slot_request.m_tier = sent.tier;
-  slot_request.m_shape.m_tier = sent.rank;
-  slot_request.m_shape.m_prompt_tokens = sent.prompt_tokens;
-  slot_request.m_expected_tokens = sent.expected_tokens;
-  slot_request.m_shape.m_latency_target = FromMillis(sent.aim_ms);
-  slot_request.m_shape.m_waited = FromMillis(sent.waited_ms);
-  slot_request.m_shape.m_left = FromMillis(sent.left_ms);
-  slot_request.m_shape.m_gap_target = FromMillis(sent.pause_aim_ms);
-  slot_request.m_wait = FromMillis(sent.wait_ms);
-  for (const wire::PromptPart& part : sent.parts)
+  slot_request.m_route = static_cast<RouteKey>(message.route);
+  slot_request.m_tier = message.tier;
+  slot_request.m_shape.m_tier = message.rank;
+  slot_request.m_shape.m_prompt_tokens = message.prompt_tokens;
+  slot_request.m_expected_tokens = message.expected_tokens;
+  slot_request.m_shape.m_latency_target = FromMillis(message.aim_ms);
+  slot_request.m_shape.m_waited = FromMillis(message.waited_ms);
+  slot_request.m_shape.m_left = FromMillis(message.left_ms);
+  slot_request.m_shape.m_gap_target = FromMillis(message.pause_aim_ms);
+  slot_request.m_wait = FromMillis(message.wait_ms);
+  for (const wire::PromptPart& part : message.parts)
     slot_request.m_prompt_segments.push_back({static_cast<std::uint64_t>(part.id), part.tokens});
-  slot_request.m_tried = sent.tried;
-  slot_request.m_quota = {sent.cost, sent.reserve};
-  slot_request.m_limit = {sent.limit_rate, sent.limit_burst};
-  slot_request.m_home_regions = {sent.bound, sent.regions};
+  slot_request.m_tried = message.tried;
+  slot_request.m_quota = {message.cost, message.reserve};
+  slot_request.m_limit = {message.limit_rate, message.limit_burst};
+  slot_request.m_home_regions = {message.bound, message.regions};
   return slot_request;
 }
 
 wire::PlaceHeld ToWire(const HeldSlot& held) {
-  wire::PlaceHeld sent;
-  sent.ref = held.m_ref;
-  sent.server = held.m_server;
-  sent.reading_tokens = held.m_pending_prefill_tokens;
-  sent.expected_tokens = held.m_expected_tokens;
-  sent.born = held.m_started_ms;
-  return sent;
+  wire::PlaceHeld message;
+  message.ref = held.m_ref;
+  message.server = held.m_server;
+  message.reading_tokens = held.m_pending_prefill_tokens;
+  message.expected_tokens = held.m_expected_tokens;
+  message.born = held.m_started_ms;
+  return message;
 }
 
-HeldSlot FromWire(const wire::PlaceHeld& sent) {
+HeldSlot FromWire(const wire::PlaceHeld& message) {
   HeldSlot held;
-  held.m_ref = sent.ref;
-  held.m_server = sent.server;
-  held.m_pending_prefill_tokens = sent.reading_tokens;
-  held.m_expected_tokens = sent.expected_tokens;
-  held.m_started_ms = sent.born;
+  held.m_ref = message.ref;
+  held.m_server = message.server;
+  held.m_pending_prefill_tokens = message.reading_tokens;
+  held.m_expected_tokens = message.expected_tokens;
+  held.m_started_ms = message.born;
   return held;
 }
 
 wire::PlaceReport ToWire(const SlotReport& report) {
-  wire::PlaceReport sent;
-  sent.ref = report.m_ref;
-  sent.tokens_read = report.m_tokens_read;
-  sent.first_ms = ToMillis(report.m_time_to_first_event);
-  sent.ended = report.m_ended;
-  sent.ran = report.m_may_have_run;
-  sent.sign = ToWire(report.m_health_signal);
-  sent.failed = report.m_failed;
-  sent.service_ms = ToMillis(report.m_service);
-  sent.events = report.m_events;
-  sent.span_ms = ToMillis(report.m_span);
-  sent.pause_ms = ToMillis(report.m_longest_pause);
-  sent.connect_us = static_cast<std::int32_t>(
+  wire::PlaceReport message;
+  message.ref = report.m_ref;
+  message.tokens_read = report.m_tokens_read;
+  message.first_ms = ToMillis(report.m_time_to_first_event);
+  message.ended = report.m_ended;
+  message.ran = report.m_may_have_run;
+  message.sign = ToWire(report.m_health_signal);
+  message.failed = report.m_failed;
+  message.service_ms = ToMillis(report.m_service);
+  message.events = report.m_events;
+  message.span_ms = ToMillis(report.m_span);
+  message.pause_ms = ToMillis(report.m_longest_pause);
+  message.connect_us = static_cast<std::int32_t>(
       std::min<std::int64_t>(report.m_connect.count(), std::numeric_limits<std::int32_t>::max()));
-  return sent;
+  return message;
 }
 
-SlotReport FromWire(const wire::PlaceReport& sent) {
+SlotReport FromWire(const wire::PlaceReport& message) {
   SlotReport report;
-  report.m_ref = sent.ref;
-  report.m_tokens_read = sent.tokens_read;
-  report.m_time_to_first_event = FromMillis(sent.first_ms);
-  report.m_ended = sent.ended;
-  report.m_may_have_run = sent.ran;
-  report.m_health_signal = FromWire(sent.sign);
-  report.m_failed = sent.failed;
-  report.m_service = FromMillis(sent.service_ms);
-  report.m_events = sent.events;
-  report.m_span = FromMillis(sent.span_ms);
-  report.m_longest_pause = FromMillis(sent.pause_ms);
-  report.m_connect = Duration(sent.connect_us);
+  report.m_ref = message.ref;
+  report.m_tokens_read = message.tokens_read;
+  report.m_time_to_first_event = FromMillis(message.first_ms);
+  report.m_ended = message.ended;
+  report.m_may_have_run = message.ran;
+  report.m_health_signal = FromWire(message.sign);
+  report.m_failed = message.failed;
+  report.m_service = FromMillis(message.service_ms);
+  report.m_events = message.events;
+  report.m_span = FromMillis(message.span_ms);
+  report.m_longest_pause = FromMillis(message.pause_ms);
+  report.m_connect = Duration(message.connect_us);
   return report;
 }
 
-wire::LimitUse ToWire(const LimitReport& word) {
-  wire::LimitUse sent;
-  sent.workspace = word.m_workspace;
-  sent.left = word.m_limit_left;
-  sent.age_ms = ToMillis(word.m_age);
-  sent.spent_alone = word.m_charged_without_broker;
-  sent.rate = word.m_limit.m_rate_per_s;
-  sent.burst = word.m_limit.m_burst;
-  sent.epoch = word.m_epoch;
-  return sent;
+wire::LimitUse ToWire(const LimitReport& limit_report) {
+  wire::LimitUse message;
+  message.workspace = limit_report.m_workspace;
+  message.left = limit_report.m_limit_left;
+  message.age_ms = ToMillis(limit_report.m_age);
+  message.spent_alone = limit_report.m_charged_without_broker;
+  message.rate = limit_report.m_limit.m_rate_per_s;
+  message.burst = limit_report.m_limit.m_burst;
+  message.epoch = limit_report.m_epoch;
+  return message;
 }
 
-LimitReport FromWire(const wire::LimitUse& sent) {
-  LimitReport word;
-  word.m_workspace = sent.workspace;
-  word.m_limit = {sent.rate, sent.burst};
-  word.m_limit_left = sent.left;
-  word.m_age = FromMillis(sent.age_ms);
-  word.m_charged_without_broker = sent.spent_alone;
-  word.m_epoch = sent.epoch;
-  return word;
+LimitReport FromWire(const wire::LimitUse& message) {
+  LimitReport limit_report;
+  limit_report.m_workspace = message.workspace;
+  limit_report.m_limit = {message.rate, message.burst};
+  limit_report.m_limit_left = message.left;
+  limit_report.m_age = FromMillis(message.age_ms);
+  limit_report.m_charged_without_broker = message.spent_alone;
+  limit_report.m_epoch = message.epoch;
+  return limit_report;
 }
 
 wire::ServerWord ToWire(const ServerNotice& notice) {
-  wire::ServerWord sent;
-  sent.server = notice.m_server;
-  sent.born = notice.m_started_ms;
-  sent.back_off_ms = ToMillis(notice.m_back_off);
-  sent.leaving = notice.m_leaving;
-  return sent;
+  wire::ServerWord message;
+  message.server = notice.m_server;
+  message.born = notice.m_started_ms;
+  message.back_off_ms = ToMillis(notice.m_back_off);
+  message.leaving = notice.m_leaving;
+  return message;
 }
 
-ServerNotice FromWire(const wire::ServerWord& sent) {
+ServerNotice FromWire(const wire::ServerWord& message) {
   ServerNotice notice;
-  notice.m_server = sent.server;
-  notice.m_started_ms = sent.born;
-  notice.m_back_off = FromMillis(sent.back_off_ms);
-  notice.m_leaving = sent.leaving;
+  notice.m_server = message.server;
+  notice.m_started_ms = message.born;
+  notice.m_back_off = FromMillis(message.back_off_ms);
+  notice.m_leaving = message.leaving;
   return notice;
 }
 
@@ -202,70 +202,70 @@
 wire::PlaceBatch ToWire(const SlotBatch& batch,
                         const std::string& incarnation,
                         const std::string& data_centre) {
-  wire::PlaceBatch sent;
-  sent.incarnation = incarnation;
-  sent.data_centre = data_centre;
-  sent.epoch = batch.m_epoch;
-  sent.resync = batch.m_resync;
-  sent.instances = batch.m_instances;
+  wire::PlaceBatch message;
+  message.incarnation = incarnation;
+  message.data_centre = data_centre;
+  message.epoch = batch.m_epoch;
+  message.resync = batch.m_resync;
+  message.instances = batch.m_instances;
   for (const HeldSlot& held : batch.m_held)
-    sent.held.push_back(ToWire(held));
-  for (const LimitReport& word : batch.m_limits)
-    sent.limits.push_back(ToWire(word));
+    message.held.push_back(ToWire(held));
+  for (const LimitReport& limit_report : batch.m_limits)
+    message.limits.push_back(ToWire(limit_report));
   for (const ServerNotice& notice : batch.m_notices)
-    sent.words.push_back(ToWire(notice));
+    message.words.push_back(ToWire(notice));
   for (const SlotRequest& slot_request : batch.m_slot_requests)
-    sent.asks.push_back(ToWire(slot_request));
-  sent.withdrawn = batch.m_cancelled_requests;
+    message.asks.push_back(ToWire(slot_request));
+  message.withdrawn = batch.m_cancelled_requests;
   for (const SlotReport& report : batch.m_reports)
-    sent.reports.push_back(ToWire(report));
-  return sent;
+    message.reports.push_back(ToWire(report));
+  return message;
 }
 
-SlotBatch FromWire(const wire::PlaceBatch& sent) {
+SlotBatch FromWire(const wire::PlaceBatch& message) {
   SlotBatch batch;
-  batch.m_epoch = sent.epoch;
-  batch.m_resync = sent.resync;
-  batch.m_instances = sent.instances;
-  for (const wire::PlaceHeld& held : sent.held)
+  batch.m_epoch = message.epoch;
+  batch.m_resync = message.resync;
+  batch.m_instances = message.instances;
+  for (const wire::PlaceHeld& held : message.held)
     batch.m_held.push_back(FromWire(held));
-  for (const wire::LimitUse& word : sent.limits)
-    batch.m_limits.push_back(FromWire(word));
-  for (const wire::ServerWord& notice : sent.words)
+  for (const wire::LimitUse& limit_report : message.limits)
+    batch.m_limits.push_back(FromWire(limit_report));
+  for (const wire::ServerWord& notice : message.words)
     batch.m_notices.push_back(FromWire(notice));
-  for (const wire::PlaceAsk& slot_request : sent.asks)
-    batch.m_slot_requests.push_back(FromWire(slot_request, sent.data_centre));
-  batch.m_cancelled_requests = sent.withdrawn;
-  for (const wire::PlaceReport& report : sent.reports)
+  for (const wire::PlaceAsk& slot_request : message.asks)
+    batch.m_slot_requests.push_back(FromWire(slot_request, message.data_centre));
+  batch.m_cancelled_requests = message.withdrawn;
+  for (const wire::PlaceReport& report : message.reports)
     batch.m_reports.push_back(FromWire(report));
   return batch;
 }
 
 wire::PlaceAnswer ToWire(const SlotResponse& answer) {
-  wire::PlaceAnswer sent;
-  sent.ref = answer.m_ref;
-  sent.verdict = static_cast<wire::PlaceVerdict::type>(answer.m_verdict);
-  sent.server = answer.m_server;
-  sent.first_ms = ToMillis(answer.m_time_to_first_event);
-  sent.left = answer.m_limit_left;
-  sent.come_back_ms = ToMillis(answer.m_estimated_wait);
-  sent.born = answer.m_started_ms;
-  sent.address = answer.m_address;
-  sent.port = answer.m_port;
-  return sent;
+  wire::PlaceAnswer message;
+  message.ref = answer.m_ref;
+  message.verdict = static_cast<wire::PlaceVerdict::type>(answer.m_verdict);
+  message.server = answer.m_server;
+  message.first_ms = ToMillis(answer.m_time_to_first_event);
+  message.left = answer.m_limit_left;
+  message.come_back_ms = ToMillis(answer.m_estimated_wait);
+  message.born = answer.m_started_ms;
+  message.address = answer.m_address;
+  message.port = answer.m_port;
+  return message;
 }
 
-SlotResponse FromWire(const wire::PlaceAnswer& sent) {
+SlotResponse FromWire(const wire::PlaceAnswer& message) {
   SlotResponse answer;
-  answer.m_ref = sent.ref;
-  answer.m_verdict = static_cast<SlotVerdict>(sent.verdict);
-  answer.m_server = sent.server;
-  answer.m_time_to_first_event = FromMillis(sent.first_ms);
-  answer.m_limit_left = sent.left;
-  answer.m_estimated_wait = FromMillis(sent.come_back_ms);
-  answer.m_started_ms = sent.born;
-  answer.m_address = sent.address;
-  answer.m_port = static_cast<std::uint16_t>(sent.port);
+  answer.m_ref = message.ref;
+  answer.m_verdict = static_cast<SlotVerdict>(message.verdict);
+  answer.m_server = message.server;
+  answer.m_time_to_first_event = FromMillis(message.first_ms);
+  answer.m_limit_left = message.left;
+  answer.m_estimated_wait = FromMillis(message.come_back_ms);
+  answer.m_started_ms = message.born;
+  answer.m_address = message.address;
+  answer.m_port = static_cast<std::uint16_t>(message.port);
   return answer;
 }
 
