--- a/packages/gateway/include/poppyway/gateway/impl/control_messages.h
+++ b/packages/gateway/include/poppyway/gateway/impl/control_messages.h
@@ -15,69 +15,72 @@
 
 // ---- From the gateway to the control task ----------------------------------------------------
 
-/// \brief Asks the dispatch ledger for a key.
+/// \brief Asks the dispatch ledger to claim an idempotency key; answered by a `ClaimReply`.
 struct ClaimKey {
   RequestRef m_ref = 0;
   wire::LedgerClaim m_claim;
-  Instant m_deadline{};         ///< Of the request.
-  bool m_needs_ledger = false;  ///< It is refused if the ledger doesn't answer.
+  Instant m_deadline{};         ///< Deadline of the request.
+  bool m_needs_ledger = false;  ///< The request is refused if the ledger doesn't answer.
 };
 
-/// \brief Tells the dispatch ledger how a claimed request ended.
+/// \brief Reports to the dispatch ledger how a request with a claimed key ended.
 struct FinishKey {
   wire::LedgerFinish m_finish;
 };
 
-/// \brief A demand for the broker of `m_pool`.
+/// \brief Sends a demand to the broker of `m_pool`.
 struct SendDemand {
   std::string m_pool;
   GatewayDemand m_demand;
 };
 
-/// \brief All requests of this gateway have ended after `BeginShutdown`.
+/// \brief Reports, once after `BeginShutdown`, that all requests of this gateway have ended.
 struct GatewayDrained {};
 
 using GatewayMessage = std::variant<ClaimKey, FinishKey, SendDemand, GatewayDrained>;
 
 // ---- From the control task to the gateway ----------------------------------------------------
 
-/// \brief A newer configuration is in force.
+/// \brief Delivers a newer configuration; a version that isn't newer is ignored.
 struct CatalogueUpdate {
   std::shared_ptr<const Catalogue> m_catalogue;
 };
 
-/// \brief The ledger's answer to a `ClaimKey`.
+/// \brief Delivers the dispatch ledger's result for a `ClaimKey`.
 struct ClaimReply {
   RequestRef m_ref = 0;
   wire::ClaimResult m_result;
 };
 
-/// \brief Grants of the broker of `m_pool`; credits may be spent until `m_lease_end`.
+/// \brief Delivers grants of the broker of `m_pool`; their credits are valid until `m_lease_end`.
 struct GrantsReceived {
   std::string m_pool;
   GrantBatch m_batch;
   Instant m_lease_end{};
 };
 
-/// \brief The connection to the broker of `m_pool` is new: tell it all that is held.
+/// \brief Reports a new connection to the broker of `m_pool`; the next demand lists all held
+/// credits.
 struct BrokerReconnected {
   std::string m_pool;
 };
 
-/// \brief Backend servers that the platform says are leaving.
+/// \brief Replaces the set of backend servers that the platform lists as leaving.
 struct LeavingServers {
   std::set<std::string> m_servers;
 };
 
-/// \brief Whether the configuration is fresh enough for the balancer to send callers.
+/// \brief Sets whether the configuration is fresh enough to report this instance as ready to the
+/// load balancer.
 struct ConfigFreshness {
   bool m_fresh = false;
 };
 
-/// \brief A planned stop begins: not ready, refuse new requests after the balancer's lag, drain.
+/// \brief Begins a planned stop: the gateway reports not ready, refuses new requests once the
+/// balancer's lag has passed, and lets the requests in progress end.
 struct BeginShutdown {};
 
-/// \brief Text of the control task's metrics for /metrics.
+/// \brief Delivers the text of the control task's metrics, which /metrics appends to its own.
 struct ControlMetrics {
   std::string m_text;
 };
--- a/packages/gateway/include/poppyway/gateway/impl/exchange.h
+++ b/packages/gateway/include/poppyway/gateway/impl/exchange.h
@@ -15,18 +15,20 @@
 
 namespace poppyway {
 
-/// \brief Where an exchange stands; it only moves down this list.
+/// \brief The stage of an exchange. Only a retry after a failed connection goes back, from
+/// `kConnecting` to `kWaiting`.
 enum class Stage : std::uint8_t {
-  kNew,
-  kClaiming,    ///< The ledger was asked for its key.
-  kWaiting,     ///< In the admission queue; no byte was sent to a back end.
-  kConnecting,  ///< Has a credit; no byte was sent to a back end.
-  kSent,        ///< Bytes were written: from here on it may have run.
-  kRelaying,    ///< The back end's head arrived.
-  kDone,        ///< The caller has its answer, or is gone.
+  kNew,         ///< The exchange runs through the filters up to admission.
+  kClaiming,    ///< The claim of its key awaits the ledger's reply.
+  kWaiting,     ///< It is in the admission queue; no byte was sent to a back end.
+  kConnecting,  ///< It holds a credit; no byte was sent to a back end.
+  kSent,        ///< It is being written or was sent; it may have run.
+  kRelaying,    ///< The head of the back end's response arrived.
+  kDone,        ///< The outcome is recorded; the response gets no more bytes.
 };
 
-/// \brief A header of a caller's request or a back end's answer; the name in lower case.
+/// \brief A header field of a caller's request or a back end's response; its name is in lower
+/// case.
 struct Header {
   std::string m_name;
   std::string m_value;
@@ -36,55 +38,55 @@
 
 class Upstream;
 
-/// \brief One request from its arrival to its end. Plain data, owned by the gateway.
+/// \brief One request and its response. Plain data, owned by the gateway.
 struct Exchange {
   RequestRef m_ref = 0;
-  std::string m_id;  ///< Unique over all instances; sent to the back end and to the caller.
+  std::string m_id;  ///< The request id: unique over all instances, sent to back end and caller.
   Stage m_stage = Stage::kNew;
   ResponseWriter m_caller;
 
-  // What the caller sent.
+  // The caller's request.
   std::string m_method;
   std::string m_path;
   std::vector<Header> m_headers;
   std::string m_body;
   Labels m_labels;
   std::string m_workspace;
-  std::string m_key;  ///< Scoped to the workspace; empty if the caller named none.
+  std::string m_key;  ///< Idempotency key with its workspace as prefix; empty if none was sent.
   bool m_model_call = false;
   CompletionRequest m_completion;
 
-  // What was decided.
+  // Decisions of the filters.
   std::shared_ptr<const Catalogue> m_catalogue;
   const EventDeclaration* m_event = nullptr;
   std::string m_model;
   std::int64_t m_prompt_tokens = 1;
   std::vector<std::uint64_t> m_prefixes;
   std::vector<std::string> m_tried;
-  bool m_claimed = false;  ///< The ledger holds our claim.
+  bool m_claimed = false;  ///< The ledger holds this request's claim of `m_key`.
   Credit m_credit;
   std::unique_ptr<Upstream> m_upstream;
 
-  // What came back.
+  // The back end's response.
   int m_status = 0;
   std::string m_content_type;
-  std::string m_kept;  ///< The answer so far, as long as it is small enough to keep.
-  bool m_keep_overflow = false;
-  std::string m_tail;  ///< Last bytes of a stream, to see its end marker.
+  std::string m_kept;  ///< Body received so far, kept to answer resends with the same key.
+  bool m_keep_overflow = false;  ///< The body is too large to keep; `m_kept` is empty.
+  std::string m_tail;            ///< Last bytes of an event stream, searched for its end marker.
 
   Instant m_arrived{};
   Instant m_deadline{};
-  Instant m_dispatched{};
-  Instant m_first_token{};
-  Instant m_last_chunk{};
+  Instant m_dispatched{};   ///< Time of the dispatch; zero before it.
+  Instant m_first_token{};  ///< Arrival of the first body bytes; zero before that.
+  Instant m_last_chunk{};   ///< Arrival of the latest body bytes.
 };
 
-/// \brief The event's tier, or the lowest if no event matched yet.
+/// \brief Returns the tier of the matched event, or the lowest tier if no event has matched.
 [[nodiscard]] inline Tier TierOf(const Exchange& exchange) noexcept {
   return exchange.m_event == nullptr ? kTiers - 1 : exchange.m_event->m_tier;
 }
 
-/// \brief The value of the header `name`, or "".
+/// \brief Returns the value of the first header `name` (in lower case), or "".
 [[nodiscard]] inline std::string HeaderValue(const std::vector<Header>& headers,
                                              std::string_view name) {
   for (const Header& header : headers) {
--- a/packages/gateway/include/poppyway/gateway/impl/gateway.h
+++ b/packages/gateway/include/poppyway/gateway/impl/gateway.h
@@ -16,10 +16,11 @@
 
 namespace poppyway {
 
-/// \brief Engines by event and model, for one catalogue: worked out once, not for each request.
+/// \brief Ids of the eligible engines by event and model for one catalogue, cached so that they
+/// aren't computed for each request.
 using EligibilityCache = std::map<std::pair<std::string, std::string>, std::vector<std::string>>;
 
-/// \brief All state of the gateway task. Plain data; the filters and the functions below act on it.
+/// \brief State of the gateway task. Plain data that the filters read and change.
 struct GatewayState {
   DaemonSettings m_settings;
   std::string m_incarnation;
@@ -27,13 +28,13 @@
   std::shared_ptr<const Catalogue> m_catalogue;
   bool m_fresh = false;
   bool m_stopping = false;
-  Instant m_refuse_from{};  ///< A stopping gateway refuses new requests from here on.
-  bool m_drained_told = false;
+  Instant m_refuse_from{};  ///< A stopping gateway refuses requests that arrive from this time on.
+  bool m_drained_reported = false;
   std::map<std::string, PoolClient> m_pools;
   std::unordered_map<RequestRef, std::unique_ptr<Exchange>> m_exchanges;
   std::vector<std::unique_ptr<Upstream>> m_retired;  ///< Destroyed outside their callbacks.
-  std::set<std::string> m_leaving;                   ///< Backend servers, as the platform says.
-  EligibilityCache m_eligible;                       ///< Of `m_catalogue`.
+  std::set<std::string> m_leaving;  ///< Backend servers that the platform lists as leaving.
+  EligibilityCache m_eligible;      ///< Cache for `m_catalogue` and `m_leaving`.
   RequestRef m_next_ref = 1;
   MetricSet m_metrics;
   std::string m_control_metrics;
@@ -42,18 +43,21 @@
   Instant m_last_poll{};
 };
 
-/// \brief The gateway task's listening side. Belongs to its loop's thread.
+/// \brief The gateway task: listens for callers and handles their requests. Not thread-safe; used
+/// on its loop's thread only.
 class Gateway {
  public:
-  /// \param to_control takes messages for the control task; must not block.
+  /// \param loop must outlive the gateway.
+  /// \param incarnation unique id of this run of the process; prefix of the request ids.
+  /// \param to_control is called with each message for the control task; must not block.
   Gateway(EventLoop& loop,
           const DaemonSettings& settings,
           std::string incarnation,
           std::function<void(GatewayMessage)> to_control);
 
-  /// Listens for callers.
+  /// Starts to listen on the settings' HTTP endpoint. \return the error of the listening socket.
   [[nodiscard]] Result<void> Listen();
-  /// Takes one message of the control task.
+  /// Handles one message of the control task.
   void HandleMessage(ControlMessage message);
   [[nodiscard]] GatewayState& state() noexcept { return m_state; }
 
--- a/packages/gateway/include/poppyway/gateway/impl/upstream.h
+++ b/packages/gateway/include/poppyway/gateway/impl/upstream.h
@@ -16,28 +16,32 @@
 
 namespace poppyway {
 
-/// \brief The start of a back end's answer.
+/// \brief Status and header fields of a back end's response.
 struct UpstreamHead {
   int m_status = 0;
   std::vector<Header> m_headers;
 };
 
-/// \brief What a call to a back end reports; exactly one of the last two ends it.
+/// \brief Callbacks of a call to a back end. The call ends with exactly one call of `m_on_complete`
+/// or `m_on_failure`, unless it is destroyed or its events are suppressed first.
 struct UpstreamEvents {
-  /// Asked with the connection open, just before the first byte: true to send.
+  /// Called when the connection is open, before the first byte is written. Returns true to send the
+  /// request, false to fail the call.
   std::function<bool()> m_may_send;
   std::function<void(const UpstreamHead&)> m_on_head;
   std::function<void(std::string_view)> m_on_data;
-  /// The answer arrived whole, as its framing says.
+  /// Called when the response is complete according to its framing.
   std::function<void()> m_on_complete;
-  /// It failed; `sent` tells whether a byte was written.
+  /// Called when the call failed; `sent` is true if the request may have been written.
   std::function<void(bool sent, const std::string& why)> m_on_failure;
 };
 
-/// \brief Pools of connections to back ends, by endpoint.
+/// \brief Pools of connections to back ends, one per endpoint. Not thread-safe; `loop` must outlive
+/// them.
 class UpstreamPools {
  public:
   explicit UpstreamPools(EventLoop& loop);
+  /// Returns the pool of `endpoint`, created on first use. Precondition: its address is IPv4.
   [[nodiscard]] h2o_socketpool_t* Get(const Endpoint& endpoint);
   [[nodiscard]] h2o_http1client_ctx_t* context() noexcept { return &m_context; }
 
@@ -49,10 +53,13 @@
   std::map<Endpoint, std::unique_ptr<h2o_socketpool_t>> m_pools;
 };
 
-/// \brief One call to a back end. Destroying it cancels the call silently.
+/// \brief One call to a back end. Its destructor cancels the call without a callback. Not
+/// thread-safe; the pools must outlive it.
 class Upstream {
  public:
-  /// Starts connecting. `request` is the whole HTTP/1.1 request.
+  /// Starts connecting.
+  /// \param request the complete HTTP/1.1 request as it is sent.
+  /// \param head_only true for a HEAD request, whose response has no body.
   Upstream(UpstreamPools& pools,
            const Endpoint& endpoint,
            std::string request,
@@ -62,10 +69,13 @@
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
 
-  /// No event is reported any more; the object may then be destroyed outside its own callbacks.
-  void SuppressEvents() noexcept { m_silent = true; }
-  /// Stops reading from the back end until `Resume`, for a slow caller.
+  /// Suppresses all further callbacks. The object may be destroyed afterwards, but not within one
+  /// of its own callbacks.
+  void SuppressEvents() noexcept { m_events_suppressed = true; }
+  /// Stops reading from the back end until `Resume`, so that a slow caller's response isn't
+  /// buffered without limit.
   void Pause();
+  /// Continues to read after `Pause`; does nothing if the call isn't paused.
   void Resume();
 
  private:
@@ -86,13 +96,13 @@
   void End(const char* why);
 
   std::string m_request;
-  h2o_iovec_t m_buffer{};
+  h2o_iovec_t m_buffer{};  ///< Refers to `m_request` while the library writes it.
   bool m_head_only;
   UpstreamEvents m_events;
   h2o_http1client_t* m_client = nullptr;
-  h2o_socket_cb m_paused = nullptr;
+  h2o_socket_cb m_paused_read = nullptr;  ///< Restored by `Resume`; null if not paused.
   bool m_sent = false;
-  bool m_silent = false;
+  bool m_events_suppressed = false;
   bool m_chunked = false;
 };
 
--- a/packages/gateway/src/account.cc
+++ b/packages/gateway/src/account.cc
@@ -5,7 +5,7 @@
 namespace poppyway::impl {
 namespace {
 
-/// Gives the credit back, or frees the place in the queue.
+/// Returns or finishes the credit of a dispatched request; removes a waiting one from the queue.
 void SettleCredit(GatewayState& state, Exchange& exchange) {
   if (exchange.m_event == nullptr)
     return;
@@ -111,15 +111,15 @@
   const bool sent = exchange.m_stage == Stage::kSent || exchange.m_stage == Stage::kRelaying;
   if (exchange.m_stage != Stage::kDone) {
     state.m_metrics.Add("poppyway_callers_left_total", sent ? "sent=\"true\"" : "sent=\"false\"");
-    // A named request runs to its end: its caller may come back for the answer.
+    // A request with a claimed key runs to its end: its caller may resend it to get the response.
     if (sent && exchange.m_claimed)
       return;
     Account(state, exchange, sent ? ResultCode::kOutcomeUnknown : ResultCode::kCallerGone);
   }
-  EraseIfOver(state, ref);
+  EraseIfDone(state, ref);
 }
 
-void EraseIfOver(GatewayState& state, RequestRef ref) {
+void EraseIfDone(GatewayState& state, RequestRef ref) {
   const auto found = state.m_exchanges.find(ref);
   if (found == state.m_exchanges.end())
     return;
--- a/packages/gateway/src/answer.cc
+++ b/packages/gateway/src/answer.cc
@@ -7,9 +7,10 @@
 namespace poppyway::impl {
 namespace {
 
-constexpr int kCallerGoneStatus = 499;  // Nobody reads it; h2o needs an answer to let go.
+// The caller has left and doesn't read it, but h2o disposes of a request only after a response.
+constexpr int kCallerGoneStatus = 499;
 
-/// Our generator: h2o calls back through it, by reference number.
+/// h2o's response generator with the reference of its exchange, which may be destroyed before it.
 struct Generator {
   h2o_generator_t m_base;
   GatewayState* m_state;
@@ -74,13 +75,13 @@
     AddField(req, "poppyway-code", std::to_string(static_cast<int>(code)));
     AddField(req, "poppyway-run", RunStateName(info.m_run));
     if (info.m_retry_after)
-      AddField(req, "retry-after", std::to_string(ComeBackAfter(state, exchange)));
+      AddField(req, "retry-after", std::to_string(RetryAfterSeconds(state, exchange)));
     const int status = info.m_http_status == 0 ? kCallerGoneStatus : info.m_http_status;
     SendWhole(state, exchange, status, "application/problem+json",
               ProblemJson(exchange, info, detail));
   }
   Account(state, exchange, code);
-  EraseIfOver(state, ref);
+  EraseIfDone(state, ref);
 }
 
 void Replay(GatewayState& state, Exchange& exchange, const wire::StoredAnswer& answer) {
@@ -96,7 +97,7 @@
   }
   state.m_metrics.Add("poppyway_replays_total");
   Account(state, exchange, ResultCode::kOk);
-  EraseIfOver(state, ref);
+  EraseIfDone(state, ref);
 }
 
 void StartAnswer(GatewayState& state,
@@ -113,10 +114,10 @@
       req->res.content_length = std::stoull(header.m_value);
       continue;
     }
-    const bool hop = header.m_name == "connection" || header.m_name == "transfer-encoding" ||
-                     header.m_name == "keep-alive" || header.m_name == "server" ||
-                     header.m_name == "date" || header.m_name == "x-request-id";
-    if (!hop)
+    const bool skipped = header.m_name == "connection" || header.m_name == "transfer-encoding" ||
+                         header.m_name == "keep-alive" || header.m_name == "server" ||
+                         header.m_name == "date" || header.m_name == "x-request-id";
+    if (!skipped)
       AddField(req, header.m_name, header.m_value);
   }
   AddField(req, "poppyway-run", RunStateName(RunState::kRan));
--- a/packages/gateway/src/chain.cc
+++ b/packages/gateway/src/chain.cc
@@ -4,8 +4,8 @@
 
 namespace poppyway::impl {
 
-// The way of one request, top to bottom. After `Dispatch` the back end's answer drives relay.cc,
-// and `Account` closes the books.
+// The steps of one request in order. After `Dispatch` the callbacks in relay.cc handle the back
+// end's response, and `Account` records the outcome.
 void RunChain(GatewayState& state, Exchange& exchange) {
   if (CheckRunning(state, exchange) == Verdict::kSuspended)
     return;
--- a/packages/gateway/src/dispatch.cc
+++ b/packages/gateway/src/dispatch.cc
@@ -8,14 +8,16 @@
 namespace poppyway::impl {
 namespace {
 
-constexpr std::array<std::string_view, 9> kHopHeaders = {
+// Hop-by-hop headers, and those that `BuildRequest` sets itself.
+constexpr std::array<std::string_view, 9> kNotForwarded = {
     "connection",        "keep-alive", "proxy-authenticate", "proxy-authorization", "te",
     "transfer-encoding", "upgrade",    "content-length",     "x-request-id"};
 
 bool IsForwarded(const Header& header) {
   if (header.m_name.starts_with("poppyway-"))
     return false;
-  return std::find(kHopHeaders.begin(), kHopHeaders.end(), header.m_name) == kHopHeaders.end();
+  return std::find(kNotForwarded.begin(), kNotForwarded.end(), header.m_name) ==
+         kNotForwarded.end();
 }
 
 std::string BuildRequest(const Exchange& exchange, const Endpoint& endpoint) {
@@ -33,12 +35,13 @@
 
 }  // namespace
 
-/// Sends the request to the engine of its credit. The first byte written is the dispatch.
+/// Connects to the engine of the exchange's credit and sends the request; the first byte written is
+/// the dispatch. An engine that was withdrawn counts as a failed connection.
 void Dispatch(GatewayState& state, Exchange& exchange) {
-  const std::vector<std::string>& usable = AllowedEngines(state, exchange);
+  const std::vector<std::string>& allowed_engines = AllowedEngines(state, exchange);
   const CatalogueEngine* engine = FindEngine(*state.m_catalogue, exchange.m_credit.m_engine);
-  const bool allowed =
-      std::find(usable.begin(), usable.end(), exchange.m_credit.m_engine) != usable.end();
+  const bool allowed = std::find(allowed_engines.begin(), allowed_engines.end(),
+                                 exchange.m_credit.m_engine) != allowed_engines.end();
   exchange.m_stage = Stage::kConnecting;
   if (engine == nullptr || !allowed) {
     OnBackendFailure(state, exchange.m_ref, false, "the engine was withdrawn");
@@ -51,7 +54,7 @@
   events.m_may_send = [&state, ref] { return OnMaySend(state, ref); };
   events.m_on_head = [&state, ref](const UpstreamHead& head) { OnBackendHead(state, ref, head); };
   events.m_on_data = [&state, ref](std::string_view bytes) { OnBackendData(state, ref, bytes); };
-  events.m_on_complete = [&state, ref] { OnBackendWhole(state, ref); };
+  events.m_on_complete = [&state, ref] { OnBackendComplete(state, ref); };
   events.m_on_failure = [&state, ref](bool sent, const std::string& why) {
     OnBackendFailure(state, ref, sent, why);
   };
--- a/packages/gateway/src/filter_admit.cc
+++ b/packages/gateway/src/filter_admit.cc
@@ -4,7 +4,8 @@
 
 namespace poppyway::impl {
 
-/// Refuses what is shed or can't be served in time; all else may go on.
+/// Refuses a request that is shed or can't be served before its deadline. Where the queue is full,
+/// a waiting request of a lower tier may be refused in its place.
 Verdict Admit(GatewayState& state, Exchange& exchange) {
   const Admission admission =
       AdmitRequest(PoolOf(state, exchange), ToWaiting(exchange),
--- a/packages/gateway/src/filter_deadline.cc
+++ b/packages/gateway/src/filter_deadline.cc
@@ -7,6 +7,7 @@
 namespace poppyway::impl {
 namespace {
 
+// Upper limit of a requested deadline, the same as that of declarations.
 constexpr std::int64_t kMaxDeadlineMs = 3'600'000;
 
 Result<std::int64_t> ReadNumber(const std::string& text, const char* header) {
@@ -19,7 +20,8 @@
 
 }  // namespace
 
-/// Sets the deadline, and refuses a request that is older than the memory of its key.
+/// Sets the deadline, and refuses a request with a key that is older than the retention of keys:
+/// the ledger may no longer know whether it ran.
 Verdict CheckDeadline(GatewayState& state, Exchange& exchange) {
   std::int64_t deadline_ms = exchange.m_event->m_deadline_ms;
   const std::string asked = HeaderValue(exchange.m_headers, "poppyway-deadline-ms");
--- a/packages/gateway/src/filter_duplicate.cc
+++ b/packages/gateway/src/filter_duplicate.cc
@@ -4,7 +4,8 @@
 
 namespace poppyway::impl {
 
-/// Claims the caller's key in the dispatch ledger; suspends until the ledger answers.
+/// Claims the caller's key in the dispatch ledger and suspends until the ledger replies. Without a
+/// key, refuses the request if its event may not be repeated.
 Verdict CheckDuplicate(GatewayState& state, Exchange& exchange) {
   if (exchange.m_key.empty()) {
     if (exchange.m_event->m_repeatable)
@@ -23,7 +24,7 @@
       Hash(exchange.m_body, Hash(exchange.m_method + " " + exchange.m_path)));
   claim.m_claim.now_ms = ReadWallMillis();
   claim.m_claim.retention_ms = exchange.m_event->m_retention_s * 1000;
-  // A model request is never sent again; a repeatable service call may be.
+  // After an unknown outcome a repeatable service call may run again, a model request never.
   claim.m_claim.rerun_unknown = exchange.m_event->m_repeatable && !exchange.m_model_call;
   claim.m_needs_ledger = !claim.m_claim.rerun_unknown;
   exchange.m_stage = Stage::kClaiming;
--- a/packages/gateway/src/filter_event.cc
+++ b/packages/gateway/src/filter_event.cc
@@ -5,7 +5,7 @@
 namespace poppyway::impl {
 namespace {
 
-/// The pool whose service prefix the path has, or the model pools' "" for a model call.
+/// Returns the service pool whose prefix `path` starts with, or nullptr.
 const PoolDeclaration* ServicePool(const Catalogue& catalogue, const std::string& path) {
   for (const PoolDeclaration& pool : catalogue.m_pools) {
     if (pool.m_type == PoolType::kService && path.starts_with(pool.m_prefix))
@@ -14,6 +14,7 @@
   return nullptr;
 }
 
+/// Returns the first event that matches the request, or nullptr.
 const EventDeclaration* FindEvent(const Catalogue& catalogue, const Exchange& exchange) {
   if (!exchange.m_model_call) {
     const PoolDeclaration* pool = ServicePool(catalogue, exchange.m_path);
@@ -34,7 +35,8 @@
 
 }  // namespace
 
-/// Finds the event that concerns the caller, and checks its model.
+/// Sets the catalogue, event and model of the exchange. Refuses the request if no event matches or
+/// no engine may serve the model.
 Verdict MatchEventFilter(GatewayState& state, Exchange& exchange) {
   if (!state.m_catalogue) {
     Refuse(state, exchange, ResultCode::kNotReady, "no configuration yet");
--- a/packages/gateway/src/filter_identify.cc
+++ b/packages/gateway/src/filter_identify.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-/// Reads who calls and what is called: labels, key, and for a model call its body.
+/// Reads the caller's labels, workspace and idempotency key, and parses the body of a model call.
 Verdict IdentifyCaller(GatewayState& state, Exchange& exchange) {
   const std::string path = exchange.m_path.substr(0, exchange.m_path.find('?'));
   exchange.m_model_call = path == kChatPath || path == kTextPath;
@@ -46,7 +46,7 @@
   exchange.m_completion = std::move(*completion);
   exchange.m_prompt_tokens = EstimateTokens(exchange.m_completion.m_prompt);
   exchange.m_prefixes = PrefixHashes(exchange.m_completion.m_prompt);
-  exchange.m_completion.m_prompt.clear();  // Only its length and hashes are needed.
+  exchange.m_completion.m_prompt.clear();  // Only its token count and prefix hashes are needed.
   return Verdict::kContinue;
 }
 
--- a/packages/gateway/src/filter_route.cc
+++ b/packages/gateway/src/filter_route.cc
@@ -4,7 +4,7 @@
 
 namespace poppyway::impl {
 
-/// Takes a standing credit, or waits for a grant.
+/// Takes a standing credit, or queues the request until it is dispatched by a grant.
 Verdict Route(GatewayState& state, Exchange& exchange) {
   PoolClient& pool = PoolOf(state, exchange);
   const Instant now = ReadClock();
--- a/packages/gateway/src/filter_running.cc
+++ b/packages/gateway/src/filter_running.cc
@@ -4,7 +4,7 @@
 
 namespace poppyway::impl {
 
-/// Refuses new requests once a planned stop has waited out the balancer's lag.
+/// Refuses new requests during a planned stop, once the load balancer's lag has passed.
 Verdict CheckRunning(GatewayState& state, Exchange& exchange) {
   const bool refusing = state.m_stopping && exchange.m_arrived >= state.m_refuse_from;
   if (!refusing)
--- a/packages/gateway/src/gateway.cc
+++ b/packages/gateway/src/gateway.cc
@@ -7,24 +7,28 @@
 namespace poppyway {
 namespace {
 
-constexpr std::uint64_t kBusyTickMillis = 5;
-constexpr std::uint64_t kIdleTickMillis = 50;
+constexpr std::uint64_t kBusyTickMillis = 5;   // Tick interval with requests in progress.
+constexpr std::uint64_t kIdleTickMillis = 50;  // Tick interval without requests.
+// Interval of the checks for callers that have closed their connections.
 constexpr Duration kCallerPollInterval{100'000};
 constexpr std::string_view kPlainText = "text/plain; charset=utf-8";
+// Longest time that a caller may take to send a request, or leave a connection idle.
 constexpr std::uint64_t kSlowSenderMillis = 10'000;
-constexpr std::size_t kBodySlack = 1 << 20;  // h2o's own limit lies this far above ours.
+// h2o's body limit lies this far above the setting, so that the gateway itself refuses bodies that
+// are slightly too large, with a result code.
+constexpr std::size_t kBodySlack = 1 << 20;
 
-/// Lives in the request's pool; tells when h2o disposes of the request.
-struct Anchor {
+/// Allocated in the request's memory pool; `OnDisposed` is called when h2o disposes of the request.
+struct DisposalHook {
   GatewayState* m_state;
   RequestRef m_ref;
 };
 
 void OnDisposed(void* data) {
-  auto* anchor = static_cast<Anchor*>(data);
-  const auto found = anchor->m_state->m_exchanges.find(anchor->m_ref);
-  if (found != anchor->m_state->m_exchanges.end())
-    impl::OnCallerGone(*anchor->m_state, *found->second);
+  auto* hook = static_cast<DisposalHook*>(data);
+  const auto found = hook->m_state->m_exchanges.find(hook->m_ref);
+  if (found != hook->m_state->m_exchanges.end())
+    impl::OnCallerGone(*hook->m_state, *found->second);
 }
 
 void ReadRequest(Exchange& exchange, h2o_req_t* req) {
@@ -42,7 +46,7 @@
   return state.m_catalogue != nullptr && state.m_fresh && !state.m_stopping;
 }
 
-/// Health and metrics; returns false if the path is not one of them.
+/// Answers health and metrics requests; returns false for any other path.
 bool AnswerOwnPath(GatewayState& state, h2o_req_t* req) {
   const std::string_view path(req->path_normalized.base, req->path_normalized.len);
   if (path == "/health/live") {
@@ -59,12 +63,12 @@
   return true;
 }
 
-void OnClaimAnswer(GatewayState& state, const ClaimReply& answer) {
+void OnClaimReply(GatewayState& state, const ClaimReply& answer) {
   const auto found = state.m_exchanges.find(answer.m_ref);
   const bool waiting =
       found != state.m_exchanges.end() && found->second->m_stage == Stage::kClaiming;
   if (!waiting)
-    return;  // The control task releases a claim that nobody waits for.
+    return;  // The exchange has ended. The control task releases a claim that it gave up.
   Exchange& exchange = *found->second;
   switch (answer.m_result.verdict) {
     case wire::ClaimVerdict::GRANTED:
@@ -86,7 +90,7 @@
                    "the key was first used for another request");
       return;
     case wire::ClaimVerdict::UNAVAILABLE:
-      // What may be repeated need not wait for a majority; a model request is sent once only.
+      // A repeatable service call may run without a claim; a model request is sent at most once.
       if (exchange.m_event->m_repeatable && !exchange.m_model_call) {
         impl::RunChainAfterClaim(state, exchange);
         return;
@@ -96,7 +100,8 @@
   }
 }
 
-/// Ends what its caller left behind; HTTP/1 connections have to be asked.
+/// Ends exchanges whose callers have closed their connections. h2o doesn't read an HTTP/1
+/// connection while its request is pending, so the sockets are polled.
 void PollCallers(GatewayState& state) {
   std::vector<RequestRef> left;
   for (const auto& [ref, exchange] : state.m_exchanges) {
@@ -109,7 +114,7 @@
     const auto found = state.m_exchanges.find(ref);
     if (found == state.m_exchanges.end())
       continue;
-    // h2o still owns the request: answer it, so that the connection is closed and disposed of.
+    // h2o still owns the request and disposes of it, with its connection, only after a response.
     Exchange& exchange = *found->second;
     const bool sent = exchange.m_stage >= Stage::kSent;
     if (sent && exchange.m_claimed)
@@ -120,13 +125,13 @@
   }
 }
 
-/// After the deadline of a request that was sent, its caller is told at once.
+/// Refuses connecting and sent requests that have no response by their deadline.
 void RefuseOverdue(GatewayState& state, Instant now) {
   std::vector<RequestRef> overdue;
   for (const auto& [ref, exchange] : state.m_exchanges) {
-    const bool silent =
+    const bool unanswered =
         exchange->m_stage == Stage::kSent || exchange->m_stage == Stage::kConnecting;
-    if (silent && now > exchange->m_deadline && exchange->m_caller.m_req != nullptr)
+    if (unanswered && now > exchange->m_deadline && exchange->m_caller.m_req != nullptr)
       overdue.push_back(ref);
   }
   for (const RequestRef ref : overdue) {
@@ -138,11 +143,12 @@
   }
 }
 
-void TellDrained(GatewayState& state, Instant now) {
-  const bool over = state.m_stopping && now >= state.m_refuse_from && state.m_exchanges.empty();
-  if (!over || state.m_drained_told)
+/// Reports once, during a planned stop, that no request is left and none is accepted any more.
+void ReportDrained(GatewayState& state, Instant now) {
+  const bool drained = state.m_stopping && now >= state.m_refuse_from && state.m_exchanges.empty();
+  if (!drained || state.m_drained_reported)
     return;
-  state.m_drained_told = true;
+  state.m_drained_reported = true;
   state.m_to_control(GatewayDrained{});
 }
 
@@ -156,24 +162,24 @@
     state.m_last_poll = now;
     PollCallers(state);
   }
-  TellDrained(state, now);
+  ReportDrained(state, now);
 }
 
-/// Visits a message of the control task.
-struct Visitor {
+/// Handles each type of message from the control task.
+struct ControlMessageHandler {
   GatewayState& m_state;
 
   void operator()(CatalogueUpdate& message) const {
     const bool newer =
         !m_state.m_catalogue || message.m_catalogue->m_version > m_state.m_catalogue->m_version;
     if (!newer)
-      return;  // A version in force only rises.
+      return;  // The version in force never decreases.
     m_state.m_catalogue = std::move(message.m_catalogue);
     m_state.m_eligible.clear();
     for (const PoolDeclaration& pool : m_state.m_catalogue->m_pools)
       m_state.m_pools.try_emplace(pool.m_name);
   }
-  void operator()(const ClaimReply& message) const { OnClaimAnswer(m_state, message); }
+  void operator()(const ClaimReply& message) const { OnClaimReply(m_state, message); }
   void operator()(const GrantsReceived& message) const { impl::OnGrants(m_state, message); }
   void operator()(const BrokerReconnected& message) const {
     PoolClient& pool = m_state.m_pools[message.m_pool];
@@ -220,12 +226,12 @@
 }
 
 Result<void> Gateway::Listen() {
-  const Endpoint& where = m_state.m_settings.m_http;
-  return m_server->Listen(where.m_address, where.m_port);
+  const Endpoint& endpoint = m_state.m_settings.m_http;
+  return m_server->Listen(endpoint.m_address, endpoint.m_port);
 }
 
 void Gateway::HandleMessage(ControlMessage message) {
-  std::visit(Visitor{m_state}, message);
+  std::visit(ControlMessageHandler{m_state}, message);
 }
 
 void Gateway::OnRequest(h2o_req_t* req) {
@@ -241,9 +247,9 @@
   exchange.m_arrived = ReadClock();
   exchange.m_caller.m_req = req;
   ReadRequest(exchange, req);
-  auto* anchor =
-      static_cast<Anchor*>(h2o_mem_alloc_shared(&req->pool, sizeof(Anchor), &OnDisposed));
-  *anchor = {&state, ref};
+  auto* hook = static_cast<DisposalHook*>(
+      h2o_mem_alloc_shared(&req->pool, sizeof(DisposalHook), &OnDisposed));
+  *hook = {&state, ref};
   impl::RunChain(state, exchange);
 }
 
--- a/packages/gateway/src/json_request.cc
+++ b/packages/gateway/src/json_request.cc
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-constexpr std::int64_t kBytesPerToken = 4;
+constexpr std::int64_t kBytesPerToken = 4;  // Assumed average; the estimate uses no tokenizer.
 
 Result<std::string> ReadMessages(const json& messages) {
   if (!messages.is_array() || messages.empty())
--- a/packages/gateway/src/pools.cc
+++ b/packages/gateway/src/pools.cc
@@ -7,8 +7,8 @@
 namespace poppyway::impl {
 namespace {
 
-/// Does what the policy decided.
-void Perform(GatewayState& state, const PoolActions& actions) {
+/// Carries out the dispatches and refusals that the policy decided on.
+void ApplyActions(GatewayState& state, const PoolActions& actions) {
   for (const PoolActions::Dispatch& dispatch : actions.m_dispatches) {
     Exchange& exchange = *state.m_exchanges.at(dispatch.m_ref);
     exchange.m_credit = dispatch.m_credit;
@@ -63,7 +63,8 @@
   const auto current = std::find_if(
       catalogue.m_events.begin(), catalogue.m_events.end(),
       [&](const EventDeclaration& event) { return event.m_name == exchange.m_event->m_name; });
-  // The newest selectors decide; an event that was removed keeps those it was matched with.
+  // The selectors of the newest configuration apply; an event that was removed keeps the selectors
+  // that the exchange was matched with.
   const EventDeclaration& event =
       current == catalogue.m_events.end() ? *exchange.m_event : *current;
   for (const EngineIndex index : EligibleEngines(catalogue, event, exchange.m_model)) {
@@ -91,8 +92,8 @@
 }
 
 void OnGrants(GatewayState& state, const GrantsReceived& grants) {
-  Perform(state, HandleGrants(state.m_pools[grants.m_pool], grants.m_batch, grants.m_lease_end,
-                              ReadClock()));
+  ApplyActions(state, HandleGrants(state.m_pools[grants.m_pool], grants.m_batch, grants.m_lease_end,
+                                   ReadClock()));
 }
 
 void TickPool(GatewayState& state, const std::string& name, PoolClient& pool, Instant now) {
@@ -100,11 +101,11 @@
   const BudgetsFn budgets = [&state](const WaitingRequest& request) {
     return BudgetsOf(state, UsableEngines(state, *state.m_exchanges.at(request.m_ref)));
   };
-  Perform(state, TickPoolClient(pool, rank, budgets, now));
+  ApplyActions(state, TickPoolClient(pool, rank, budgets, now));
   FlushDemand(state, name, pool, now);
 }
 
-int ComeBackAfter(GatewayState& state, const Exchange& exchange) {
+int RetryAfterSeconds(GatewayState& state, const Exchange& exchange) {
   if (exchange.m_event == nullptr)
     return RetryAfter(0, 1, state.m_random());
   const PoolClient& pool = PoolOf(state, exchange);
--- a/packages/gateway/src/relay.cc
+++ b/packages/gateway/src/relay.cc
@@ -5,8 +5,11 @@
 namespace poppyway::impl {
 namespace {
 
-constexpr std::size_t kMaxBuffered = 256 * 1024;  // Per request, before the back end is paused.
-constexpr std::size_t kMaxKept = 64 * 1024;       // Answers up to this size are kept for resends.
+// Above this many pending bytes of a request, reading from its back end is paused.
+constexpr std::size_t kMaxBuffered = 256 * 1024;
+// Response bodies up to this size are kept to answer resends.
+constexpr std::size_t kMaxKept = 64 * 1024;
+// Bytes at the end of a stream that are searched for `kStreamEnd`.
 constexpr std::size_t kTailBytes = 64;
 constexpr std::string_view kStreamEnd = "data: [DONE]";
 
@@ -19,7 +22,8 @@
   return exchange.m_content_type.starts_with("text/event-stream");
 }
 
-void Keep(Exchange& exchange, std::string_view bytes) {
+/// Keeps body bytes of a request with a key, up to `kMaxKept`, to answer resends.
+void KeepForResend(Exchange& exchange, std::string_view bytes) {
   if (exchange.m_key.empty() || exchange.m_keep_overflow)
     return;
   if (exchange.m_kept.size() + bytes.size() > kMaxKept) {
@@ -30,7 +34,8 @@
   exchange.m_kept += bytes;
 }
 
-void NoteChunk(GatewayState& state, Exchange& exchange) {
+/// Records the time to the first chunk, or between two chunks, in the metrics.
+void RecordChunk(GatewayState& state, Exchange& exchange) {
   const Instant now = ReadClock();
   const std::string labels = "tier=\"" + std::to_string(TierOf(exchange)) + "\"";
   if (exchange.m_first_token == Instant{}) {
@@ -45,7 +50,8 @@
   exchange.m_last_chunk = now;
 }
 
-/// Without a byte sent, another engine may be tried within the retry budget.
+/// Tries another engine after a failed connection. Precondition: no byte was sent. Returns false if
+/// the retry budget is spent.
 bool RetryElsewhere(GatewayState& state, Exchange& exchange) {
   PoolClient& pool = PoolOf(state, exchange);
   if (!Withdraw(pool.m_retries))
@@ -92,8 +98,8 @@
   Exchange* exchange = Find(state, ref);
   if (exchange == nullptr || exchange->m_stage != Stage::kRelaying)
     return;
-  NoteChunk(state, *exchange);
-  Keep(*exchange, bytes);
+  RecordChunk(state, *exchange);
+  KeepForResend(*exchange, bytes);
   if (IsEventStream(*exchange)) {
     exchange->m_tail += bytes.substr(bytes.size() - std::min(bytes.size(), kTailBytes));
     if (exchange->m_tail.size() > kTailBytes)
@@ -104,7 +110,7 @@
     exchange->m_upstream->Pause();
 }
 
-void OnBackendWhole(GatewayState& state, RequestRef ref) {
+void OnBackendComplete(GatewayState& state, RequestRef ref) {
   Exchange* exchange = Find(state, ref);
   if (exchange == nullptr || exchange->m_stage != Stage::kRelaying)
     return;
@@ -117,7 +123,7 @@
   Retire(state, *exchange);
   SendChunk(exchange->m_caller, "", true);
   Account(state, *exchange, ResultCode::kOk);
-  EraseIfOver(state, ref);
+  EraseIfDone(state, ref);
 }
 
 void OnBackendFailure(GatewayState& state, RequestRef ref, bool sent, const std::string& why) {
--- a/packages/gateway/src/relay.h
+++ b/packages/gateway/src/relay.h
@@ -6,11 +6,15 @@
 
 namespace poppyway::impl {
 
-/// The connection to the back end is open: true to write the first byte, which is the dispatch.
+// Callbacks of the upstream call; see `UpstreamEvents`. Each looks `ref` up and ignores an exchange
+// that has ended.
+
+/// Returns true to write the request; its first byte is the dispatch. Returns false if the caller
+/// has left.
 [[nodiscard]] bool OnMaySend(GatewayState& state, RequestRef ref);
 void OnBackendHead(GatewayState& state, RequestRef ref, const UpstreamHead& head);
 void OnBackendData(GatewayState& state, RequestRef ref, std::string_view bytes);
-void OnBackendWhole(GatewayState& state, RequestRef ref);
+void OnBackendComplete(GatewayState& state, RequestRef ref);
 void OnBackendFailure(GatewayState& state, RequestRef ref, bool sent, const std::string& why);
 
 }  // namespace poppyway::impl
--- a/packages/gateway/src/upstream.cc
+++ b/packages/gateway/src/upstream.cc
@@ -9,11 +9,12 @@
 namespace poppyway {
 namespace {
 
-constexpr std::uint64_t kIoTimeoutMillis = 600'000;
-constexpr std::uint64_t kIdleMillis = 30'000;
-constexpr std::size_t kPoolCapacity = 4096;
+constexpr std::uint64_t kIoTimeoutMillis = 600'000;  // Timeout of one connect, read or write.
+constexpr std::uint64_t kIdleMillis = 30'000;        // Idle pooled connections are closed.
+constexpr std::size_t kPoolCapacity = 4096;          // Capacity of h2o's pool of an endpoint.
 
-/// An answer is whole only if its framing says where it ends.
+/// Returns true if the response's framing says where its body ends; without that, a truncated
+/// response can't be detected.
 bool IsFramed(int status, const std::vector<Header>& headers, bool head_only) {
   if (head_only || status == 204 || status == 304)
     return true;
@@ -37,12 +38,12 @@
   if (pool)
     return pool.get();
   pool = std::make_unique<h2o_socketpool_t>();
-  sockaddr_in where{};
-  where.sin_family = AF_INET;
-  where.sin_port = htons(endpoint.m_port);
-  inet_pton(AF_INET, endpoint.m_address.c_str(), &where.sin_addr);
-  h2o_socketpool_init_by_address(pool.get(), reinterpret_cast<sockaddr*>(&where), sizeof(where), 0,
-                                 kPoolCapacity);
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(endpoint.m_port);
+  inet_pton(AF_INET, endpoint.m_address.c_str(), &address.sin_addr);
+  h2o_socketpool_init_by_address(pool.get(), reinterpret_cast<sockaddr*>(&address), sizeof(address),
+                                 0, kPoolCapacity);
   h2o_socketpool_set_timeout(pool.get(), m_loop.loop(), kIdleMillis);
   return pool.get();
 }
@@ -64,12 +65,12 @@
 
 void Upstream::End(const char* why) {
   m_client = nullptr;
-  if (m_silent)
+  if (m_events_suppressed)
     return;
-  // The handler may destroy this object: nothing of it is touched afterwards.
+  // The handler may destroy this object: it is copied first, and no member is used after its call.
   if (why == nullptr) {
-    const auto on_whole = m_events.m_on_complete;
-    on_whole();
+    const auto on_complete = m_events.m_on_complete;
+    on_complete();
     return;
   }
   const auto on_failure = m_events.m_on_failure;
@@ -86,7 +87,7 @@
     self->End(fault);
     return nullptr;
   }
-  if (self->m_silent || !self->m_events.m_may_send()) {
+  if (self->m_events_suppressed || !self->m_events.m_may_send()) {
     self->End("withdrawn before the first byte");
     return nullptr;
   }
@@ -123,7 +124,7 @@
     return nullptr;
   }
   self->m_chunked = !HeaderValue(head.m_headers, "transfer-encoding").empty();
-  if (!self->m_silent)
+  if (!self->m_events_suppressed)
     self->m_events.m_on_head(head);
   if (ended) {
     self->End(nullptr);
@@ -139,15 +140,15 @@
     self->End(fault);
     return -1;
   }
-  // The client takes a close between two chunks for the end of the body. It is not: only the last
-  // chunk is, and that comes with bytes, while the read that finds a close brings none.
-  const bool cut = ended && self->m_chunked && client->sock->bytes_read == 0;
-  if (cut) {
+  // h2o's client reports a close between two chunks as the end of the body, although only the last
+  // chunk ends it. A read with the last chunk brings bytes, a read that finds a close brings none.
+  const bool closed_early = ended && self->m_chunked && client->sock->bytes_read == 0;
+  if (closed_early) {
     self->End("closed before the last chunk");
     return 0;
   }
   h2o_buffer_t*& input = client->sock->input;
-  if (input->size > 0 && !self->m_silent) {
+  if (input->size > 0 && !self->m_events_suppressed) {
     self->m_events.m_on_data(std::string_view(input->bytes, input->size));
     h2o_buffer_consume(&input, input->size);
   }
@@ -157,18 +158,18 @@
 }
 
 void Upstream::Pause() {
-  if (m_client == nullptr || m_client->sock == nullptr || m_paused != nullptr)
+  if (m_client == nullptr || m_client->sock == nullptr || m_paused_read != nullptr)
     return;
-  m_paused = m_client->sock->_cb.read;
-  if (m_paused != nullptr)
+  m_paused_read = m_client->sock->_cb.read;
+  if (m_paused_read != nullptr)
     h2o_socket_read_stop(m_client->sock);
 }
 
 void Upstream::Resume() {
-  if (m_client == nullptr || m_paused == nullptr)
+  if (m_client == nullptr || m_paused_read == nullptr)
     return;
-  h2o_socket_read_start(m_client->sock, m_paused);
-  m_paused = nullptr;
+  h2o_socket_read_start(m_client->sock, m_paused_read);
+  m_paused_read = nullptr;
 }
 
 }  // namespace poppyway
