--- a/packages/http/include/poppyway/http.h
+++ b/packages/http/include/poppyway/http.h
@@ -3,11 +3,11 @@
 #pragma once
 
 /// \file
-/// \brief What every listener of ours shares: an HTTP/1.1 server on a task's loop, whole replies,
-/// answers sent in pieces, and noticing callers that have left.
+/// \brief Shared code of all HTTP listeners: an HTTP/1.1 server on a task's loop, complete and
+/// streamed responses, and detection of callers that have disconnected.
 ///
-/// \detail All of it belongs to the loop's thread. The process has to ignore SIGPIPE: callers close
-/// connections while they are written to.
+/// \detail Nothing here is thread-safe; all of it is used on the loop's thread. The process must
+/// ignore SIGPIPE, since callers close connections that are being written to.
 
 #include "poppyway/http/impl/http_server.h"
 #include "poppyway/http/impl/response_writer.h"
--- a/packages/http/include/poppyway/http/impl/http_server.h
+++ b/packages/http/include/poppyway/http/impl/http_server.h
@@ -16,27 +16,29 @@
 
 namespace poppyway {
 
-/// \brief Bounds of a listener.
+/// \brief Limits of a listener.
 struct HttpLimits {
-  std::size_t m_max_body = 4 << 20;
-  /// Longest that a connection may rest between requests, or take to send one.
+  std::size_t m_max_body = 4 << 20;  ///< Largest request body, in bytes.
+  /// Longest time that a connection may be idle between requests, or take to send one.
   std::uint64_t m_idle_millis = 60'000;
 };
 
-/// \brief Listens for HTTP/1.1 and hands each request, its body read whole, to one function.
-/// Belongs to its loop's thread.
+/// \brief Listens for HTTP/1.1 requests and passes each, with its complete body, to a handler. Not
+/// thread-safe; used on its loop's thread only.
 class HttpServer {
  public:
   using Handler = std::function<void(h2o_req_t*)>;
 
+  /// \param loop must outlive the server.
+  /// \param handler is called with each request, and has to respond to it then or later.
   HttpServer(EventLoop& loop, const HttpLimits& limits, Handler handler);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Listens on an IPv4 number.
+  /// Starts to listen on an IPv4 address. \return the error of the listening socket.
   [[nodiscard]] Result<void> Listen(const std::string& address, std::uint16_t port);
-  /// Takes no more connections; those that are open go on.
+  /// Accepts no more connections; open connections are still served.
   void StopListening();
 
  private:
@@ -55,17 +57,19 @@
   h2o_socket_t* m_listener = nullptr;
 };
 
-/// \brief Reads a request's header fields, names in lower case, through `take`.
+/// \brief Calls `on_field` with each header field of a request, "host" first. Names are in lower
+/// case; the views are valid as long as the request.
 void ReadFields(const h2o_req_t* req,
-                const std::function<void(std::string_view name, std::string_view value)>& take);
+                const std::function<void(std::string_view name, std::string_view value)>& on_field);
 
-/// \brief Adds a header field to an answer.
+/// \brief Adds a header field to the response of `req`; copies name and value.
 void AddField(h2o_req_t* req, std::string_view name, std::string_view value);
 
-/// \brief The standard phrase of a status.
+/// \brief Returns the standard reason phrase of a status, or "Other" for a status not in its list.
 [[nodiscard]] const char* ReasonPhrase(int status) noexcept;
 
-/// \brief Sends a whole answer at once. Call once for a request.
+/// \brief Sends a complete response. Call at most once per request.
+/// \param type value of the content-type header.
 void SendResponse(h2o_req_t* req, int status, std::string_view type, std::string_view body);
 
 }  // namespace poppyway
--- a/packages/http/src/http_server.cc
+++ b/packages/http/src/http_server.cc
@@ -5,9 +5,11 @@
 namespace poppyway {
 namespace {
 
-constexpr int kAcceptsAtOnce = 64;  // A session opening brings hundreds of connections.
-constexpr Duration kCallerSilence{
-    10'000'000};  // Unacknowledged bytes: the caller's machine is gone.
+// Connections accepted per event. The opening of a session brings hundreds of connections.
+constexpr int kAcceptsAtOnce = 64;
+// A connection whose bytes are unacknowledged for this long is closed: the caller's machine is
+// gone.
+constexpr Duration kUnacknowledgedLimit{10'000'000};
 
 }  // namespace
 
@@ -58,7 +60,7 @@
     h2o_socket_t* socket = h2o_evloop_socket_accept(listener);
     if (socket == nullptr)
       return;
-    SetDeadPeerTimeout(h2o_socket_get_fd(socket), kCallerSilence);
+    SetDeadPeerTimeout(h2o_socket_get_fd(socket), kUnacknowledgedLimit);
     h2o_accept(&self->m_accept, socket);
   }
 }
@@ -68,14 +70,15 @@
   return 0;
 }
 
-void ReadFields(const h2o_req_t* req,
-                const std::function<void(std::string_view name, std::string_view value)>& take) {
-  // The library keeps Host apart from the other fields.
-  take("host", std::string_view(req->authority.base, req->authority.len));
+void ReadFields(
+    const h2o_req_t* req,
+    const std::function<void(std::string_view name, std::string_view value)>& on_field) {
+  // h2o keeps Host apart from the other header fields.
+  on_field("host", std::string_view(req->authority.base, req->authority.len));
   for (std::size_t i = 0; i < req->headers.size; ++i) {
     const h2o_header_t& field = req->headers.entries[i];
-    take(std::string_view(field.name->base, field.name->len),
-         std::string_view(field.value.base, field.value.len));
+    on_field(std::string_view(field.name->base, field.name->len),
+             std::string_view(field.value.base, field.value.len));
   }
 }
 
--- a/packages/http/src/response_writer.cc
+++ b/packages/http/src/response_writer.cc
@@ -14,6 +14,7 @@
   return h2o_socket_get_fd(req->conn->callbacks->get_socket(req->conn));
 }
 
+/// Passes the pending bytes to h2o.
 void Push(ResponseWriter& caller, bool last) {
   caller.m_sending.swap(caller.m_pending);
   caller.m_pending.clear();
@@ -24,8 +25,8 @@
            last ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_IN_PROGRESS);
 }
 
-/// Ends the connection without the answer's end. The library would send bytes of its own to mark
-/// the break, which are no part of the protocol; a connection that is shut down carries none.
+/// Closes the connection before the response's end. h2o marks the error with bytes of its own that
+/// are not part of the protocol; a connection that is shut down doesn't transmit them.
 void Cut(ResponseWriter& caller) {
   const bool http2 = caller.m_req->version >= 0x200;
   if (!http2)
@@ -62,7 +63,7 @@
   caller.m_ended = true;
   caller.m_aborted = true;
   if (!caller.m_inflight)
-    Cut(caller);  // Else it follows in ContinueResponse.
+    Cut(caller);  // Otherwise `ContinueResponse` cuts the response off.
 }
 
 void ContinueResponse(ResponseWriter& caller) {
@@ -81,7 +82,7 @@
     return true;
   const bool http2 = req->version >= 0x200;
   if (http2)
-    return false;  // The library disposes of an HTTP/2 request at once.
+    return false;  // h2o disposes of an HTTP/2 request as soon as its caller leaves.
   pollfd watched{DescriptorOf(req), POLLRDHUP, 0};
   return poll(&watched, 1, 0) == 1 && (watched.revents & kLeftEvents) != 0;
 }
