--- a/packages/selectors/include/poppyway/selectors.h
+++ b/packages/selectors/include/poppyway/selectors.h
@@ -6,6 +6,6 @@
 /// \brief Set-based label selectors: `tier in (a, b), region notin (x), canary, !old, model = m`.
 ///
 /// \detail A selector is a comma-separated list of requirements that must all hold. The empty
-/// selector matches everything. Pure values and functions; any thread.
+/// selector matches everything. All functions are pure and may be called from any thread.
 
 #include "poppyway/selectors/impl/selector.h"
--- a/packages/selectors/src/selector.cc
+++ b/packages/selectors/src/selector.cc
@@ -9,26 +9,28 @@
 namespace poppyway {
 namespace {
 
-/// A cursor over the selector's text.
+/// The selector's text and the position of the parser in it.
 struct Cursor {
   std::string_view m_text;
-  std::size_t m_at = 0;
+  std::size_t m_position = 0;
 };
 
 bool AtEnd(const Cursor& cursor) {
-  return cursor.m_at >= cursor.m_text.size();
+  return cursor.m_position >= cursor.m_text.size();
 }
 
 void SkipBlanks(Cursor& cursor) {
-  while (!AtEnd(cursor) && std::isspace(static_cast<unsigned char>(cursor.m_text[cursor.m_at])))
-    ++cursor.m_at;
+  while (!AtEnd(cursor) &&
+         std::isspace(static_cast<unsigned char>(cursor.m_text[cursor.m_position])))
+    ++cursor.m_position;
 }
 
+/// Skips blanks, and `token` if it follows. Returns true if it does.
 bool Accept(Cursor& cursor, std::string_view token) {
   SkipBlanks(cursor);
-  if (!cursor.m_text.substr(cursor.m_at).starts_with(token))
+  if (!cursor.m_text.substr(cursor.m_position).starts_with(token))
     return false;
-  cursor.m_at += token.size();
+  cursor.m_position += token.size();
   return true;
 }
 
@@ -37,17 +39,18 @@
          c == '/' || c == ':';
 }
 
+/// Skips blanks and reads a label, operator word or value; returns "" if none follows.
 std::string ReadWord(Cursor& cursor) {
   SkipBlanks(cursor);
-  const std::size_t start = cursor.m_at;
-  while (!AtEnd(cursor) && IsWordByte(cursor.m_text[cursor.m_at]))
-    ++cursor.m_at;
-  return std::string(cursor.m_text.substr(start, cursor.m_at - start));
+  const std::size_t start = cursor.m_position;
+  while (!AtEnd(cursor) && IsWordByte(cursor.m_text[cursor.m_position]))
+    ++cursor.m_position;
+  return std::string(cursor.m_text.substr(start, cursor.m_position - start));
 }
 
 tl::unexpected<Error> FailAt(const Cursor& cursor, std::string_view wanted) {
   return Fail(ResultCode::kBadSelector, "selector '" + std::string(cursor.m_text) + "', column " +
-                                            std::to_string(cursor.m_at + 1) + ": expected " +
+                                            std::to_string(cursor.m_position + 1) + ": expected " +
                                             std::string(wanted));
 }
 
@@ -84,12 +87,12 @@
     return ReadEquality(cursor, std::move(label), SelectorOp::kNotIn);
   if (Accept(cursor, "==") || Accept(cursor, "="))
     return ReadEquality(cursor, std::move(label), SelectorOp::kIn);
-  const std::size_t before_word = cursor.m_at;
+  const std::size_t before_word = cursor.m_position;
   const std::string word = ReadWord(cursor);
   if (word.empty())
     return Requirement{std::move(label), SelectorOp::kExists, {}};
   if (word != "in" && word != "notin") {
-    cursor.m_at = before_word;
+    cursor.m_position = before_word;
     return FailAt(cursor, "'in', 'notin', '=', '!=' or ','");
   }
   Result<std::vector<std::string>> values = ReadSet(cursor);
--- a/packages/settings/include/poppyway/settings.h
+++ b/packages/settings/include/poppyway/settings.h
@@ -3,12 +3,12 @@
 #pragma once
 
 /// \file
-/// \brief What operators write: the daemon's settings file and the declarations, both YAML.
+/// \brief The daemon's settings file and the declarations, both YAML files that operators write.
 ///
 /// \detail Settings belong to one process and are read once at start. Declarations (pools, servers,
-/// events, workspaces) are shared; they are checked here, stored by the replicated log as text, and
-/// compiled into an immutable `Catalogue`. Every fault names file, line, column and, for an unknown
-/// key, the nearest valid one. Pure functions; any thread.
+/// events, workspaces) are shared; they are checked here, stored as text by the replicated log,
+/// and compiled into an immutable `Catalogue`. Every error of a file names file, line and column
+/// and, for an unknown key, the nearest valid one. All functions may be called from any thread.
 
 #include "poppyway/settings/impl/catalogue.h"
 #include "poppyway/settings/impl/daemon_settings.h"
--- a/packages/settings/include/poppyway/settings/impl/daemon_settings.h
+++ b/packages/settings/include/poppyway/settings/impl/daemon_settings.h
@@ -11,7 +11,7 @@
 
 namespace poppyway {
 
-/// \brief An IPv4 number and a port.
+/// \brief An IPv4 address and a port.
 struct Endpoint {
   std::string m_address;
   std::uint16_t m_port = 0;
@@ -22,13 +22,13 @@
   }
 };
 
-/// \brief "address:port".
+/// \brief Returns "address:port".
 [[nodiscard]] std::string ToText(const Endpoint& endpoint);
 
-/// \brief Parses "a.b.c.d:port".
+/// \brief Parses "a.b.c.d:port". \return the endpoint, or `kBadSettings`.
 [[nodiscard]] Result<Endpoint> ParseEndpoint(const std::string& text);
 
-/// \brief A member of the replicated log as the settings name it.
+/// \brief A member of the replicated log as declared in the settings.
 struct MemberSettings {
   std::string m_name;
   Endpoint m_peer;
@@ -36,7 +36,7 @@
   friend bool operator==(const MemberSettings&, const MemberSettings&) = default;
 };
 
-/// \brief The settings of one daemon; read once at start.
+/// \brief The settings of one daemon, read once at start.
 struct DaemonSettings {
   std::string m_cluster;
   std::string m_instance;
@@ -53,34 +53,36 @@
   std::int64_t m_stale_after_ms = 30000;
   std::int64_t m_balancer_lag_ms = 1000;
   std::int64_t m_snapshot_entries = 10000;
-  std::string m_platform_list;  ///< `address:port/path` of the platform's list; may be empty.
-  std::string m_log_file;       ///< Empty: standard error.
-
-  // Set by code for hosted deployments, where members are found rather than listed.
-  bool m_hosted = false;          ///< The members named above are only a way in.
-  double m_exposure_share = 0.1;  ///< Of a pool's requests, for a version under trial.
-  double m_exposure_slack = 50;   ///< Requests beyond that share.
-  RegionMap m_regions;            ///< Of all data centres.
-  bool m_is_member = false;       ///< Hosted: this instance keeps the log.
-  bool m_may_bootstrap = true;    ///< A blank member may form the first cluster.
+  std::string m_platform_list;  ///< `address:port/path` of the list of leaving servers, or empty.
+  std::string m_log_file;       ///< Path of the log file; empty: standard error.
+
+  // These are set by code for hosted deployments, which discover members at run time.
+  bool m_hosted = false;          ///< `m_members` lists only the seeds to contact first.
+  double m_exposure_share = 0.1;  ///< Share of a pool's requests for a version under trial.
+  double m_exposure_slack = 50;   ///< Requests allowed beyond that share.
+  RegionMap m_regions;            ///< Regions of all data centres.
+  bool m_is_member = false;       ///< Whether this hosted instance is a member of the log.
+  bool m_may_bootstrap = true;    ///< Whether a member without data may form a cluster.
   bool m_log_to_stdout = false;
-  std::int64_t m_confirmation_ttl_ms =
-      0;  ///< How long a confirmed document may be acted on; 0: for ever.
+  /// How long the configuration document may be used after a leader confirmed it; 0: without limit.
+  std::int64_t m_confirmation_ttl_ms = 0;
 
   friend bool operator==(const DaemonSettings&, const DaemonSettings&) = default;
 };
 
-/// \brief Parses and checks a settings file's text.
+/// \brief Parses and checks the text of a settings file.
+/// \param source the file's name, for errors.
+/// \return the settings, or `kBadSettings` with the position of the first error.
 [[nodiscard]] Result<DaemonSettings> ParseDaemonSettings(const std::string& text,
                                                          const std::string& source);
 
-/// \brief Reads a settings file.
+/// \brief Reads, parses and checks a settings file. \return the settings, or `kBadSettings`.
 [[nodiscard]] Result<DaemonSettings> LoadDaemonSettings(const std::string& path);
 
-/// \brief True if this instance is one of the log's members.
+/// \brief Returns true if this instance is a member of the replicated log.
 [[nodiscard]] bool IsMember(const DaemonSettings& settings);
 
-/// \brief The keys of the settings file, for docs/CONFIGURATION.md.
+/// \brief Returns the keys of the settings file; docs/CONFIGURATION.md lists them.
 [[nodiscard]] std::span<const KeyInfo> DaemonKeys();
 
 }  // namespace poppyway
--- a/packages/settings/include/poppyway/settings/impl/declaration.h
+++ b/packages/settings/include/poppyway/settings/impl/declaration.h
@@ -28,8 +28,8 @@
 struct EngineDeclaration {
   std::string m_name;
   std::uint16_t m_port = 0;
-  std::int64_t m_slots = 8;               ///< Requests decoded at once.
-  std::int64_t m_prefill_tokens = 16384;  ///< Outstanding prompt tokens.
+  std::int64_t m_slots = 8;               ///< Limit of requests decoded at once.
+  std::int64_t m_prefill_tokens = 16384;  ///< Limit of outstanding prompt tokens.
   std::vector<std::string> m_models;
 
   friend bool operator==(const EngineDeclaration&, const EngineDeclaration&) = default;
@@ -39,28 +39,28 @@
 struct ServerDeclaration {
   std::string m_name;
   std::string m_pool;
-  std::string m_address;  ///< IPv4 number.
+  std::string m_address;  ///< IPv4 address.
   Labels m_labels;
-  bool m_checks_fence = true;
-  bool m_leaving = false;
+  bool m_checks_fence = true;  ///< Whether the server checks the fence of an order.
+  bool m_leaving = false;      ///< The server gets no new requests.
   std::vector<EngineDeclaration> m_engines;
 
   friend bool operator==(const ServerDeclaration&, const ServerDeclaration&) = default;
 };
 
-/// \brief Work with a fixed start, and the rules that concern it.
+/// \brief A class of requests, which may have a fixed start, and the rules that apply to it.
 struct EventDeclaration {
   std::string m_name;
   std::string m_pool;
-  std::string m_start;  ///< RFC 3339, or empty for standing work.
+  std::string m_start;  ///< RFC 3339 time; empty for requests at any time.
   int m_tier = 0;       ///< 0 is the highest.
   Labels m_labels;
-  Selector m_callers;  ///< Over the caller's labels: workspace, language, event, path, method.
-  Selector m_servers;  ///< Over the server's labels, plus server, pool.
-  std::string m_model;
-  bool m_repeatable = true;
-  std::int64_t m_deadline_ms = 30000;
-  std::int64_t m_retention_s = 900;
+  Selector m_callers;   ///< Selects by workspace, language, event, path and method of a request.
+  Selector m_servers;   ///< Selects by the server's labels and its labels server and pool.
+  std::string m_model;  ///< Model for requests that name none.
+  bool m_repeatable = true;            ///< Whether a request may run more than once.
+  std::int64_t m_deadline_ms = 30000;  ///< Deadline of requests that set none.
+  std::int64_t m_retention_s = 900;    ///< How long idempotency keys are kept.
 
   friend bool operator==(const EventDeclaration&, const EventDeclaration&) = default;
 };
@@ -74,7 +74,7 @@
   friend bool operator==(const WorkspaceDeclaration&, const WorkspaceDeclaration&) = default;
 };
 
-/// \brief One declaration as its author wrote it: identity and YAML text.
+/// \brief One declaration as text: its kind, its name and its YAML source.
 struct DeclarationText {
   std::string m_kind;
   std::string m_name;
@@ -83,14 +83,21 @@
   friend bool operator==(const DeclarationText&, const DeclarationText&) = default;
 };
 
-/// \brief Splits a YAML stream into declarations and checks each.
+/// \brief Splits a YAML stream into declarations and checks each on its own.
 /// \param source the file's name, for errors.
+/// \return the declarations in their order, or `kBadDeclaration` with the position of the first
+/// error.
 [[nodiscard]] Result<std::vector<DeclarationText>> ParseDeclarations(const std::string& text,
                                                                      const std::string& source);
 
-/// \brief Reads every `*.yaml` file below `folder` in name order.
+/// \brief Reads and checks every `*.yaml` file below `folder`, in the order of their paths;
+/// `folder` may also be one file. \return the declarations, or `kBadDeclaration`, also if there is
+/// no file.
 [[nodiscard]] Result<std::vector<DeclarationText>> LoadDeclarations(const std::string& folder);
 
+/// \brief These parse one declaration of their kind from a YAML mapping. `source` is the file's
+/// name, for errors. \return the declaration, or `kBadDeclaration` with the position of the first
+/// error.
 [[nodiscard]] Result<PoolDeclaration> ReadPool(const YAML::Node& node, const std::string& source);
 [[nodiscard]] Result<ServerDeclaration> ReadServer(const YAML::Node& node,
                                                    const std::string& source);
@@ -98,10 +105,11 @@
 [[nodiscard]] Result<WorkspaceDeclaration> ReadWorkspace(const YAML::Node& node,
                                                          const std::string& source);
 
-/// \brief The keys of one kind ("pool", "server", "engine", "event", "workspace").
+/// \brief Returns the keys of one kind ("pool", "server", "engine", "event", "workspace"), or none
+/// for any other kind.
 [[nodiscard]] std::span<const KeyInfo> DeclarationKeys(std::string_view kind);
 
-/// \brief Tiers are 0 (highest) to `kTierCount - 1`.
+/// \brief The number of tiers; they are numbered from 0 (highest) to `kTierCount - 1`.
 inline constexpr int kTierCount = 3;
 
 }  // namespace poppyway
--- a/packages/settings/include/poppyway/settings/impl/parsed_declarations.h
+++ b/packages/settings/include/poppyway/settings/impl/parsed_declarations.h
@@ -10,8 +10,8 @@
 
 namespace poppyway {
 
-/// \brief All declarations, parsed, by kind and name. Copies are cheap: they share what is
-/// unchanged, so that a change costs what it changes and not what stands.
+/// \brief All parsed declarations by kind and name. Copies share the declarations, so that a change
+/// parses and copies only the declarations that it changes.
 struct ParsedDeclarations {
   template <typename T>
   using ByName = std::map<std::string, std::shared_ptr<const T>>;
@@ -22,19 +22,21 @@
   ByName<WorkspaceDeclaration> m_workspaces;
 };
 
-/// \brief Parses one declaration and puts it in place of its namesake.
-/// \return `kBadDeclaration`, changing nothing.
+/// \brief Parses one declaration and adds it, replacing one of the same kind and name.
+/// \return `kBadDeclaration` for an invalid declaration; `parsed` is unchanged then.
 [[nodiscard]] Result<void> PutDeclaration(ParsedDeclarations& parsed, const DeclarationText& text);
 
-/// \brief Takes a declaration out, if it is there.
+/// \brief Removes a declaration if it exists.
 void RemoveDeclaration(ParsedDeclarations& parsed,
                        const std::string& kind,
                        const std::string& name);
 
-/// \brief Checks that every name that is referred to is declared.
+/// \brief Checks that the pools that servers and events refer to are declared.
+/// \return `kBadDeclaration` for the first one that is not.
 [[nodiscard]] Result<void> CheckReferences(const ParsedDeclarations& parsed);
 
-/// \brief The catalogue of these declarations.
+/// \brief Builds the catalogue of these declarations.
+/// \return the catalogue, or the error of `CheckReferences`.
 [[nodiscard]] Result<Catalogue> BuildCatalogue(const ParsedDeclarations& parsed,
                                                std::int64_t version);
 
--- a/packages/settings/src/catalogue.cc
+++ b/packages/settings/src/catalogue.cc
@@ -8,6 +8,7 @@
 namespace poppyway {
 namespace {
 
+/// Returns the server's labels, with its name and pool as the labels server and pool.
 Labels ServerLabels(const ServerDeclaration& server) {
   Labels labels = server.m_labels;
   labels["server"] = server.m_name;
@@ -24,9 +25,9 @@
 
 Result<Catalogue> Compile(const std::vector<DeclarationText>& declarations, std::int64_t version) {
   ParsedDeclarations parsed;
-  std::set<std::pair<std::string, std::string>> seen;
+  std::set<std::pair<std::string, std::string>> declared;
   for (const DeclarationText& text : declarations) {
-    if (!seen.emplace(text.m_kind, text.m_name).second)
+    if (!declared.emplace(text.m_kind, text.m_name).second)
       return Fail(ResultCode::kBadDeclaration,
                   text.m_kind + "/" + text.m_name + " is declared twice");
     if (Result<void> put = PutDeclaration(parsed, text); !put)
--- a/packages/settings/src/daemon_settings.cc
+++ b/packages/settings/src/daemon_settings.cc
@@ -14,7 +14,7 @@
 namespace poppyway {
 namespace {
 
-constexpr std::int64_t kMaxMembers = 9;
+constexpr std::int64_t kMaxMembers = 9;  // The bounds of the key "members" name it too.
 
 constexpr std::array kDaemonKeys = {
     KeyInfo{"cluster", "text", "-", "required", "-", "Name of the cluster; guards data folders."},
@@ -75,7 +75,9 @@
   return members;
 }
 
-/// Impossible sets of members are refused: even numbers, too many, names or endpoints twice.
+/// Records an error for an invalid set of members: an even or too large number, a name or endpoint
+/// that is used twice, an entry of this instance that differs from `peer`, or a member without
+/// a data folder.
 void CheckMembers(impl::YamlReader& reader, const DaemonSettings& settings) {
   const std::size_t count = settings.m_members.size();
   if (count % 2 == 0 || count > kMaxMembers)
--- a/packages/settings/src/declaration.cc
+++ b/packages/settings/src/declaration.cc
@@ -11,6 +11,7 @@
 namespace poppyway {
 namespace {
 
+// Upper bounds of values in declarations; the keys below name them too.
 constexpr std::int64_t kMaxPort = 65535;
 constexpr std::int64_t kMaxSlots = 4096;
 constexpr std::int64_t kMaxPrefill = 10'000'000;
--- a/packages/settings/src/parsed_declarations.cc
+++ b/packages/settings/src/parsed_declarations.cc
@@ -24,13 +24,14 @@
 }
 
 Result<void> CheckPool(const ParsedDeclarations& parsed,
-                       const std::string& who,
+                       const std::string& referrer,
                        const std::string& pool) {
   if (parsed.m_pools.contains(pool))
     return {};
-  return Fail(ResultCode::kBadDeclaration, who + ": pool '" + pool + "' is not declared");
+  return Fail(ResultCode::kBadDeclaration, referrer + ": pool '" + pool + "' is not declared");
 }
 
+/// Fills `m_engines` and `m_by_id` from the servers.
 void IndexEngines(Catalogue& catalogue) {
   for (std::uint32_t s = 0; s < catalogue.m_servers.size(); ++s) {
     const ServerDeclaration& server = catalogue.m_servers[s];
--- a/packages/settings/src/yaml_reader.cc
+++ b/packages/settings/src/yaml_reader.cc
@@ -8,6 +8,7 @@
 namespace poppyway::impl {
 namespace {
 
+/// Returns the Levenshtein distance of two texts.
 std::size_t EditDistance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   std::iota(row.begin(), row.end(), std::size_t{0});
@@ -56,9 +57,9 @@
                                    [&key](const KeyInfo& info) { return info.m_key == key; });
     if (known)
       continue;
-    const std::string near = Nearest(key, keys);
-    FaultAt(entry.first.Mark(),
-            "unknown key '" + key + "'" + (near.empty() ? "" : "; did you mean '" + near + "'?"));
+    const std::string nearest = Nearest(key, keys);
+    FaultAt(entry.first.Mark(), "unknown key '" + key + "'" +
+                                    (nearest.empty() ? "" : "; did you mean '" + nearest + "'?"));
   }
 }
 
