--- a/packages/core/include/poppyway/core.h
+++ b/packages/core/include/poppyway/core.h
@@ -3,10 +3,10 @@
 #pragma once
 
 /// \file
-/// \brief Values that every other package shares: result codes, errors, time, hashing, regions.
+/// \brief Values that all packages share: result codes, errors, time, hashing, regions.
 ///
-/// \detail Everything here is an immutable value or a pure function, so all of it may be used from
-/// any thread. Nothing here reads a clock: callers pass an `Instant`.
+/// \detail Everything here may be used from any thread. Except for `ReadClock` and
+/// `ReadWallMillis`, functions are pure and don't read a clock: callers pass an `Instant`.
 ///
 /// Example:
 /// \code
--- a/packages/core/include/poppyway/core/impl/error.h
+++ b/packages/core/include/poppyway/core/impl/error.h
@@ -11,7 +11,8 @@
 
 namespace poppyway {
 
-/// \brief Why an operation failed: a numbered code and a sentence that says what to do.
+/// \brief The reason why an operation failed: a result code and a sentence that says what is wrong
+/// or what to do.
 struct Error {
   ResultCode m_code = ResultCode::kOk;
   std::string m_message;
@@ -23,7 +24,7 @@
 template <typename T>
 using Result = tl::expected<T, Error>;
 
-/// \brief Builds the unexpected side of a `Result`.
+/// \brief Builds the error value of a `Result`.
 [[nodiscard]] inline tl::unexpected<Error> Fail(ResultCode code, std::string message) {
   return tl::unexpected<Error>(Error{code, std::move(message)});
 }
--- a/packages/core/include/poppyway/core/impl/hash.h
+++ b/packages/core/include/poppyway/core/impl/hash.h
@@ -7,10 +7,10 @@
 
 namespace poppyway {
 
-/// \brief 64-bit XXH3 of `data`; the same on every machine and in every run.
+/// \brief Returns the 64-bit XXH3 hash of `data`; it is the same on every machine and in every run.
 [[nodiscard]] std::uint64_t Hash(std::string_view data, std::uint64_t seed = 0) noexcept;
 
-/// \brief Mixes two hashes into one, as rendezvous hashing needs it.
+/// \brief Combines two hashes into one, for rendezvous hashing. The order of the two matters.
 [[nodiscard]] std::uint64_t MixHash(std::uint64_t a, std::uint64_t b) noexcept;
 
 }  // namespace poppyway
--- a/packages/core/include/poppyway/core/impl/region_map.h
+++ b/packages/core/include/poppyway/core/impl/region_map.h
@@ -8,10 +8,11 @@
 
 namespace poppyway {
 
-/// \brief The region of each data centre of a deployment, by the data centre's name.
+/// \brief Regions of the data centres of a deployment, by the data centre's name.
 using RegionMap = std::map<std::string, std::string, std::less<>>;
 
-/// \brief The region of a data centre; empty if it is not known.
+/// \brief Returns the region of a data centre, or "" if it is not known. The view is valid while
+/// `regions` is unchanged.
 [[nodiscard]] inline std::string_view RegionOf(const RegionMap& regions,
                                                std::string_view data_centre) noexcept {
   const auto found = regions.find(data_centre);
--- a/packages/core/include/poppyway/core/impl/result_code.h
+++ b/packages/core/include/poppyway/core/impl/result_code.h
@@ -8,17 +8,17 @@
 
 namespace poppyway {
 
-/// \brief What is known about whether a request ran on a back end.
+/// \brief Whether a request ran on a back end, as far as it is known.
 enum class RunState : std::uint8_t {
-  kNotRun,   ///< Certain: no byte of the request reached a back end.
-  kUnknown,  ///< A byte was written; the outcome can't be known.
+  kNotRun,   ///< No byte of the request reached a back end.
+  kUnknown,  ///< A byte was written, so the outcome is not known.
   kRan,      ///< The back end answered.
 };
 
-/// \brief Numbered results; docs/RESULT_CODES.md is generated from the same table.
+/// \brief Result codes; docs/RESULT_CODES.md is generated from the same table.
 enum class ResultCode : std::uint16_t {
   kOk = 0,
-  // 1xxx: the caller's request is at fault; it did not run.
+  // 1xxx: the caller's request is invalid; it did not run.
   kBadRequest = 1000,
   kNoEventMatches = 1001,
   kBodyTooLarge = 1002,
@@ -29,7 +29,7 @@
   kUnknownModel = 1007,
   kNoRoute = 1008,
   kUnknownKey = 1009,
-  // 2xxx: refused for the state of the system; it did not run.
+  // 2xxx: the request was refused because of the state of the system; it did not run.
   kOverload = 2000,
   kDeadlineUnreachable = 2001,
   kStopping = 2002,
@@ -49,7 +49,7 @@
   kAnswerCrossed = 3003,
   kDeadlinePassed = 3004,
   kAnswerNotKept = 3005,
-  // 4xxx: configuration and operators.
+  // 4xxx: errors in settings, declarations and operators' requests.
   kBadSettings = 4000,
   kBadDeclaration = 4001,
   kVersionConflict = 4002,
@@ -58,7 +58,7 @@
   kBadSelector = 4005,
   kNotFound = 4006,
   kOtherRollout = 4007,
-  // 5xxx: storage and peers.
+  // 5xxx: errors of storage and peers.
   kDataDamaged = 5000,
   kDataForeign = 5001,
   kDataNewer = 5002,
@@ -68,23 +68,23 @@
   kDiskFull = 5006,
 };
 
-/// \brief One row of the result table.
+/// \brief The properties of a result code: one row of the table.
 struct ResultInfo {
   ResultCode m_code;
-  std::string_view m_name;     ///< Stable name, also the counter's label.
-  int m_http_status;           ///< Status of the answer to the caller; 0 where none is sent.
-  RunState m_run;              ///< What the caller is told about the run.
-  bool m_retry_after;          ///< True if the answer says when to come back.
-  std::string_view m_meaning;  ///< One sentence for people.
+  std::string_view m_name;     ///< Stable name; also the label value of its counter.
+  int m_http_status;           ///< HTTP status of the response; 0 if none is sent.
+  RunState m_run;              ///< Run state that the response reports.
+  bool m_retry_after;          ///< True if the response has a `Retry-After` header.
+  std::string_view m_meaning;  ///< Description in one sentence, sent as the title.
 };
 
-/// \brief All rows, in numeric order.
+/// \brief Returns the rows of all result codes, in numeric order.
 [[nodiscard]] std::span<const ResultInfo> ResultTable() noexcept;
 
-/// \brief The row of one code. Precondition: `code` is an enumerator.
+/// \brief Returns the row of one code. Precondition: `code` is an enumerator.
 [[nodiscard]] const ResultInfo& ResultInfoOf(ResultCode code) noexcept;
 
-/// \brief "not run", "outcome unknown" or "ran".
+/// \brief Returns "not run", "outcome unknown" or "ran".
 [[nodiscard]] std::string_view RunStateName(RunState state) noexcept;
 
 }  // namespace poppyway
--- a/packages/core/include/poppyway/core/impl/time.h
+++ b/packages/core/include/poppyway/core/impl/time.h
@@ -8,7 +8,8 @@
 
 using Duration = std::chrono::microseconds;
 
-/// \brief Tag of the monotonic time line; it has no `now()`, since decisions are given the time.
+/// \brief Clock type of `Instant`. It has no `now()`: code that depends on the time takes it as a
+/// parameter.
 struct GivenClock {
   using rep = Duration::rep;
   using period = Duration::period;
@@ -20,19 +21,21 @@
 /// \brief A point in monotonic time, in microseconds.
 using Instant = GivenClock::time_point;
 
-/// \brief Reads the monotonic clock. Called by tasks only, never by policy, log or state.
+/// \brief Reads the monotonic clock. Only tasks call it; policy, log and state take the time as a
+/// parameter.
 [[nodiscard]] inline Instant ReadClock() {
   return Instant(
       std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch()));
 }
 
-/// \brief Reads the wall clock in milliseconds since 1970.
+/// \brief Reads the wall clock. \return milliseconds since 1970-01-01 UTC.
 [[nodiscard]] inline std::int64_t ReadWallMillis() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
 
+/// \brief Returns `duration` in seconds.
 [[nodiscard]] constexpr double Seconds(Duration duration) noexcept {
   return static_cast<double>(duration.count()) / 1e6;
 }
--- a/packages/telemetry/include/poppyway/telemetry.h
+++ b/packages/telemetry/include/poppyway/telemetry.h
@@ -3,10 +3,11 @@
 #pragma once
 
 /// \file
-/// \brief Counters, gauges and histograms in Prometheus text, and one-line key=value logs.
+/// \brief Counters, gauges and histograms in the Prometheus text format, and logs of key=value
+/// lines.
 ///
-/// \detail A `MetricSet` belongs to one task and is not thread-safe; each task has its own and the
-/// gateway's /metrics joins their texts. Logging is thread-safe.
+/// \detail A `MetricSet` is not thread-safe: each task has its own, and the gateway's /metrics page
+/// joins their texts. Logging is thread-safe.
 ///
 /// Example:
 /// \code
--- a/packages/telemetry/include/poppyway/telemetry/impl/line_writer.h
+++ b/packages/telemetry/include/poppyway/telemetry/impl/line_writer.h
@@ -10,38 +10,40 @@
 
 namespace poppyway {
 
-/// \brief Bounds of a `LineWriter`.
+/// \brief Limits of a `LineWriter`.
 struct LineLimits {
-  /// Lines a second, on average. About three lines a request at 60 requests a second, the most that
-  /// one of today's instances sees in a burst.
+  /// Average number of lines per second. It allows for about three lines per request at 60 requests
+  /// per second, the peak of one instance in a burst.
   double m_lines_per_s = 200;
-  double m_burst = 1000;                   ///< Lines that may come at once.
-  std::size_t m_most_pending = 64 * 1024;  ///< Bytes kept for a reader that has stalled.
+  double m_burst = 1000;                   ///< Lines that may be written at once.
+  std::size_t m_most_pending = 64 * 1024;  ///< Bytes buffered while the reader doesn't read.
 };
 
-/// \brief Writes lines to a descriptor without ever waiting for its reader. What doesn't fit is
-/// left out and counted; the next line that fits is preceded by one that says how many. One thread
-/// at a time.
+/// \brief Writes lines to a file descriptor without waiting for its reader. A line that exceeds the
+/// limits is dropped and counted; the next line that fits is preceded by a line with the number
+/// dropped. Not thread-safe.
 class LineWriter {
  public:
-  /// Makes `fd` non-blocking. Doesn't own it.
+  /// Makes `fd` non-blocking. The writer doesn't own or close it.
   explicit LineWriter(int fd, const LineLimits& limits = {});
 
+  /// Writes `line` and a line feed, or drops the line. Errors of the descriptor are ignored.
   void Write(std::string_view line, Instant now);
-  /// Lines left out so far.
+  /// Returns the number of lines dropped so far.
   [[nodiscard]] std::uint64_t dropped() const noexcept { return m_dropped; }
 
  private:
+  /// Refills the token bucket up to `now` and takes one token; false if there is none.
   [[nodiscard]] bool Allow(Instant now);
   void Flush();
 
   int m_fd;
   LineLimits m_limits;
-  double m_allowance;
-  Instant m_filled{};
+  double m_tokens;
+  Instant m_last_refill{};
   std::string m_pending;
   std::uint64_t m_dropped = 0;
-  std::uint64_t m_reported = 0;  ///< Of the dropped, those that a line has told of.
+  std::uint64_t m_reported = 0;  ///< Dropped lines that a written line has counted.
 };
 
 }  // namespace poppyway
--- a/packages/telemetry/include/poppyway/telemetry/impl/log_line.h
+++ b/packages/telemetry/include/poppyway/telemetry/impl/log_line.h
@@ -10,18 +10,19 @@
 
 namespace poppyway {
 
-/// \brief Where log lines go.
+/// \brief The destination of log lines.
 struct LogTarget {
-  std::string m_file{};      ///< Empty: a standard stream.
+  std::string m_file{};      ///< Path of the log file; empty: a standard stream.
   bool m_to_stdout = false;  ///< Standard output instead of standard error.
-  std::string m_instance{};  ///< Stands in every line.
+  std::string m_instance{};  ///< Name of the instance, written in every line.
 };
 
-/// \brief Starts logging; each line is `time=… level=… instance=… event=… key=…`.
-/// Call once, before other threads start.
+/// \brief Starts logging; each line is `time=… level=… instance=… event=… key=…`. Lines below level
+/// info are dropped. Precondition: it is called once, before other threads start.
 void StartLogging(const LogTarget& target);
 
-/// \brief One log event; the line is written when the object is destroyed. Thread-safe.
+/// \brief One log line, written by the destructor. Several threads may log at the same time, each
+/// with its own object.
 class LogLine {
  public:
   LogLine(boost::log::trivial::severity_level level, std::string_view event);
@@ -29,6 +30,8 @@
   LogLine(const LogLine&) = delete;
   LogLine& operator=(const LogLine&) = delete;
 
+  /// Appends ` key=value`. A value that is empty or has blanks, quotes, '=' or line breaks is
+  /// quoted, and its line breaks become blanks.
   template <typename T>
   LogLine& Field(std::string_view key, const T& value) {
     std::ostringstream text;
--- a/packages/telemetry/include/poppyway/telemetry/impl/metric_set.h
+++ b/packages/telemetry/include/poppyway/telemetry/impl/metric_set.h
@@ -12,17 +12,20 @@
 
 namespace poppyway {
 
-/// \brief A duration histogram with logarithmic bins from 50 µs to 1000 s.
+/// \brief A histogram of durations with logarithmic bins from 50 µs to 1000 s. Not thread-safe.
 class DurationHistogram {
  public:
   DurationHistogram();
 
+  /// \brief Adds a value; one below 50 µs counts as 50 µs.
   void Record(Duration value);
   [[nodiscard]] std::uint64_t Count() const noexcept { return m_count; }
   [[nodiscard]] double SumSeconds() const noexcept { return m_sum; }
-  /// \brief Upper edge of the bin that holds quantile `q` (0 to 1); zero if nothing was recorded.
+  /// \brief Returns the upper edge of the bin that holds the quantile `q` (0 to 1); 1000 s for
+  /// values above it, zero if nothing was recorded.
   [[nodiscard]] Duration Quantile(double q) const;
-  /// \brief Appends Prometheus `_bucket`, `_sum` and `_count` lines.
+  /// \brief Appends the Prometheus lines `_bucket`, `_sum` and `_count` to `out`. Labels are as in
+  /// `MetricSet`.
   void AppendTo(std::string& out, std::string_view name, std::string_view labels) const;
 
  private:
@@ -33,17 +36,23 @@
   double m_sum = 0;
 };
 
-/// \brief Metrics of one task. Not thread-safe. Labels are Prometheus text without braces.
+/// \brief Metrics of one task. Not thread-safe. Labels are in the Prometheus text format, without
+/// the braces.
 class MetricSet {
  public:
+  /// \brief Adds `by` to a counter.
   void Add(std::string_view name, std::string_view labels = "", std::uint64_t by = 1);
+  /// \brief Sets a gauge.
   void Set(std::string_view name, std::string_view labels, double value);
+  /// \brief Adds a value to a histogram.
   void Record(std::string_view name, std::string_view labels, Duration value);
-  /// \brief Takes a histogram that is kept elsewhere.
+  /// \brief Replaces a histogram by a copy of one that is kept elsewhere.
   void SetHistogram(std::string_view name,
                     std::string_view labels,
                     const DurationHistogram& histogram);
+  /// \brief Returns the value of a counter; 0 if nothing was added.
   [[nodiscard]] std::uint64_t Counter(std::string_view name, std::string_view labels = "") const;
+  /// \brief Returns all metrics in the Prometheus text format.
   [[nodiscard]] std::string Text() const;
 
  private:
--- a/packages/telemetry/src/line_writer.cc
+++ b/packages/telemetry/src/line_writer.cc
@@ -10,20 +10,20 @@
 namespace poppyway {
 
 LineWriter::LineWriter(int fd, const LineLimits& limits)
-    : m_fd(fd), m_limits(limits), m_allowance(limits.m_burst) {
+    : m_fd(fd), m_limits(limits), m_tokens(limits.m_burst) {
   const int flags = fcntl(fd, F_GETFL);
   if (flags >= 0)
     fcntl(fd, F_SETFL, flags | O_NONBLOCK);
 }
 
 bool LineWriter::Allow(Instant now) {
-  if (m_filled != Instant{})
-    m_allowance += Seconds(now - m_filled) * m_limits.m_lines_per_s;
-  m_filled = now;
-  m_allowance = std::min(m_allowance, m_limits.m_burst);
-  if (m_allowance < 1)
+  if (m_last_refill != Instant{})
+    m_tokens += Seconds(now - m_last_refill) * m_limits.m_lines_per_s;
+  m_last_refill = now;
+  m_tokens = std::min(m_tokens, m_limits.m_burst);
+  if (m_tokens < 1)
     return false;
-  m_allowance -= 1;
+  m_tokens -= 1;
   return true;
 }
 
@@ -47,7 +47,7 @@
   while (!m_pending.empty()) {
     const ssize_t written = write(m_fd, m_pending.data(), m_pending.size());
     if (written <= 0)
-      return;  // The reader has stalled or is gone; what is pending waits for the next line.
+      return;  // The reader has stalled or is gone; the next line retries the pending bytes.
     m_pending.erase(0, static_cast<std::size_t>(written));
   }
 }
--- a/packages/telemetry/src/log_line.cc
+++ b/packages/telemetry/src/log_line.cc
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// Standard output through a `LineWriter`.
+/// Sink backend that writes to standard output through a `LineWriter`.
 class StdoutBackend
     : public boost::log::sinks::
           basic_formatted_sink_backend<char, boost::log::sinks::synchronized_feeding> {
--- a/packages/telemetry/src/metric_set.cc
+++ b/packages/telemetry/src/metric_set.cc
@@ -5,14 +5,17 @@
 namespace poppyway {
 namespace {
 
+// Range and number of the histogram's logarithmic bins.
 constexpr unsigned kBins = 120;
 constexpr double kLowestSeconds = 50e-6;
 constexpr double kHighestSeconds = 1000;
 
+/// Returns `labels` in braces, or "" if there are none.
 std::string Braced(std::string_view labels) {
   return labels.empty() ? "" : "{" + std::string(labels) + "}";
 }
 
+/// Returns `labels` and the label `extra` in braces.
 std::string WithLabel(std::string_view labels, const std::string& extra) {
   return "{" + std::string(labels) + (labels.empty() ? "" : ",") + extra + "}";
 }
@@ -33,11 +36,11 @@
   if (m_count == 0)
     return Duration(0);
   const double target = q * static_cast<double>(m_count);
-  double seen = 0;
+  double cumulative = 0;
   const auto& axis = m_bins.axis(0);
   for (int i = 0; i < static_cast<int>(kBins); ++i) {
-    seen += m_bins.at(i);
-    if (seen >= target)
+    cumulative += m_bins.at(i);
+    if (cumulative >= target)
       return Duration(static_cast<std::int64_t>(axis.bin(i).upper() * 1e6));
   }
   return Duration(static_cast<std::int64_t>(kHighestSeconds * 1e6));
@@ -46,16 +49,16 @@
 void DurationHistogram::AppendTo(std::string& out,
                                  std::string_view name,
                                  std::string_view labels) const {
-  constexpr int kEvery = 6;  // Export one bin edge in six: twenty buckets.
-  double seen = 0;
+  constexpr int kBinsPerBucket = 6;  // One bin edge in six is exported: twenty buckets.
+  double cumulative = 0;
   const auto& axis = m_bins.axis(0);
   for (int i = 0; i < static_cast<int>(kBins); ++i) {
-    seen += m_bins.at(i);
-    if ((i + 1) % kEvery != 0)
+    cumulative += m_bins.at(i);
+    if ((i + 1) % kBinsPerBucket != 0)
       continue;
     out += std::string(name) + "_bucket" +
            WithLabel(labels, "le=\"" + std::to_string(axis.bin(i).upper()) + "\"") + " " +
-           std::to_string(static_cast<std::uint64_t>(seen)) + "\n";
+           std::to_string(static_cast<std::uint64_t>(cumulative)) + "\n";
   }
   out += std::string(name) + "_bucket" + WithLabel(labels, "le=\"+Inf\"") + " " +
          std::to_string(m_count) + "\n";
