--- a/tests/main.cc
+++ b/tests/main.cc
@@ -5,6 +5,6 @@
 #include <csignal>
 
 int main(int argc, char** argv) {
-  std::signal(SIGPIPE, SIG_IGN);  // As the daemon does.
+  std::signal(SIGPIPE, SIG_IGN);  // The daemon ignores it too.
   return Catch::Session().run(argc, argv);
 }
--- a/tests/result_code_test.cc
+++ b/tests/result_code_test.cc
@@ -42,7 +42,7 @@
   std::size_t rows = 0;
   for (std::size_t at = page.find("\n| "); at != std::string::npos; at = page.find("\n| ", at + 1))
     ++rows;
-  CHECK(rows == ResultTable().size() + 1);  // And the head.
+  CHECK(rows == ResultTable().size() + 1);  // The table's header is a row too.
   for (const ResultInfo& info : ResultTable())
     CHECK(page.find(Row(info)) != std::string::npos);
 }
--- a/tests/temporary_folder.h
+++ b/tests/temporary_folder.h
@@ -8,7 +8,7 @@
 
 namespace poppyway::test {
 
-/// A folder that is removed at the end of its scope.
+/// Creates a temporary folder, which the destructor removes with its contents.
 class TemporaryFolder {
  public:
   TemporaryFolder() {
--- a/tests/upstream_test.cc
+++ b/tests/upstream_test.cc
@@ -17,22 +17,23 @@
 using test::Send;
 using test::Wait;
 
-constexpr int kLimitMillis = 3'000;
-// Long enough that the head is handled before what follows it arrives.
-constexpr int kApartMillis = 50;
+constexpr int kTimeoutMillis = 3'000;
+// Time between two sends, long enough for the client to handle the first before the second.
+constexpr int kGapMillis = 50;
 const std::string kHead =
     "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\nconnection: close\r\n\r\n";
 
-/// What one call reported.
+/// The events that one call reported.
 struct Report {
   std::string m_data;
   bool m_whole = false;
   std::optional<std::string> m_failure;
 };
 
-/// `late_by` keeps the caller busy after its request was sent, as a loaded machine does: what the
-/// server sends meanwhile, its close included, is found at once.
-Report RunScript(std::vector<ScriptStep> steps, int late_by_millis = 0) {
+/// Runs one call against a server that follows `steps`. `busy_millis` blocks the client's loop
+/// after the request was sent, as on a loaded machine, so that one read finds all that the server
+/// has sent, including its close.
+Report RunScript(std::vector<ScriptStep> steps, int busy_millis = 0) {
   ScriptedServer server([&steps](const std::string&) { return steps; });
   EventLoop loop;
   UpstreamPools pools(loop);
@@ -46,12 +47,12 @@
   Upstream call(pools, {"127.0.0.1", server.port()}, "GET /a HTTP/1.1\r\nhost: t\r\n\r\n", false,
                 std::move(events));
   const Instant begun = ReadClock();
-  bool slept = late_by_millis == 0;
+  bool slept = busy_millis == 0;
   while (!report.m_whole && !report.m_failure &&
-         ReadClock() < begun + std::chrono::milliseconds(kLimitMillis)) {
+         ReadClock() < begun + std::chrono::milliseconds(kTimeoutMillis)) {
     loop.RunFor(2);
-    if (!slept && ReadClock() - begun > std::chrono::milliseconds(kApartMillis / 2)) {
-      std::this_thread::sleep_for(std::chrono::milliseconds(late_by_millis));
+    if (!slept && ReadClock() - begun > std::chrono::milliseconds(kGapMillis / 2)) {
+      std::this_thread::sleep_for(std::chrono::milliseconds(busy_millis));
       slept = true;
     }
   }
@@ -59,14 +60,13 @@
 }
 
 TEST_CASE("a chunked answer and its close that are found in one read are a whole answer") {
-  // All in one piece, and a head that comes before the rest of the answer.
+  // The first response is sent in one piece, the second one sends its head before the rest.
   const Report at_once = RunScript(
-      {Wait(kApartMillis), Send(kHead + "2\r\nhi\r\n0\r\n\r\n"), CloseNow()}, 4 * kApartMillis);
+      {Wait(kGapMillis), Send(kHead + "2\r\nhi\r\n0\r\n\r\n"), CloseNow()}, 4 * kGapMillis);
   CHECK(at_once.m_whole);
   CHECK(at_once.m_data == "hi");
-  const Report head_first =
-      RunScript({Send(kHead), Wait(kApartMillis), Send("2\r\nhi\r\n0\r\n\r\n"), CloseNow()},
-                4 * kApartMillis);
+  const Report head_first = RunScript(
+      {Send(kHead), Wait(kGapMillis), Send("2\r\nhi\r\n0\r\n\r\n"), CloseNow()}, 4 * kGapMillis);
   CHECK(head_first.m_whole);
   CHECK(head_first.m_data == "hi");
 }
@@ -75,11 +75,11 @@
   const std::string cuts[] = {"", "2\r\nhi\r\n", "2\r\nh"};
   for (const std::string& cut : cuts) {
     INFO(cut);
-    const Report together = RunScript({Send(kHead + cut), CloseNow()}, 4 * kApartMillis);
+    const Report together = RunScript({Send(kHead + cut), CloseNow()}, 4 * kGapMillis);
     CHECK_FALSE(together.m_whole);
     CHECK(together.m_failure);
     const Report apart =
-        RunScript({Send(kHead), Wait(kApartMillis), Send(cut), Wait(kApartMillis), CloseNow()});
+        RunScript({Send(kHead), Wait(kGapMillis), Send(cut), Wait(kGapMillis), CloseNow()});
     CHECK_FALSE(apart.m_whole);
     CHECK(apart.m_failure);
   }
