--- a/apps/poppyway/command.cc
+++ b/apps/poppyway/command.cc
@@ -9,21 +9,22 @@
 namespace poppyway::cli {
 namespace {
 
-constexpr Duration kLeaderWait{5'000'000};  // An election takes about one, beside slow disks some.
-constexpr Duration kAskPause{200'000};
+// An election takes about 1 s, and several seconds on slow disks.
+constexpr Duration kLeaderTimeout{5'000'000};
+constexpr Duration kRetryInterval{200'000};
 
-/// A refusal that comes from the leader: the others only say that they aren't it.
+/// True for errors that only the leader returns; other instances return kNotLeader instead.
 bool IsFinal(ResultCode code) {
   return code == ResultCode::kNotFound || code == ResultCode::kOtherRollout;
 }
 
-/// A leader that has just begun, or is being elected, answers within seconds.
-bool MayPass(ResultCode code) {
+/// True for errors that last only until a leader is elected and ready, which takes seconds.
+bool IsTransient(ResultCode code) {
   return code == ResultCode::kNotLeader || code == ResultCode::kNoMajority;
 }
 
-/// Asks one instance after the other until one answers.
-Result<wire::Body> AskEach(const CommonOptions& common, const wire::Body& body) {
+/// Sends the request once to each instance in turn until one returns a reply or a final error.
+Result<wire::Body> TryEachInstance(const CommonOptions& common, const wire::Body& body) {
   Error last{ResultCode::kPeerUnreachable, "no instance given; use --instance address:port"};
   for (const Endpoint& instance : common.m_instances) {
     Result<wire::Body> reply =
@@ -37,17 +38,17 @@
 
 }  // namespace
 
-Result<wire::Body> Ask(const CommonOptions& common, const wire::Body& body) {
-  const Instant end = ReadClock() + kLeaderWait;
+Result<wire::Body> SendRequest(const CommonOptions& common, const wire::Body& body) {
+  const Instant end = ReadClock() + kLeaderTimeout;
   while (true) {
-    Result<wire::Body> reply = AskEach(common, body);
-    if (reply || !MayPass(reply.error().m_code) || ReadClock() >= end)
+    Result<wire::Body> reply = TryEachInstance(common, body);
+    if (reply || !IsTransient(reply.error().m_code) || ReadClock() >= end)
       return reply;
-    std::this_thread::sleep_for(kAskPause);
+    std::this_thread::sleep_for(kRetryInterval);
   }
 }
 
-int Report(const Error& error) {
+int PrintError(const Error& error) {
   std::cerr << "poppyway: " << error.m_message << " (" << static_cast<int>(error.m_code) << " "
             << ResultInfoOf(error.m_code).m_name << ")\n";
   if (error.m_code == ResultCode::kPeerUnreachable) {
@@ -65,7 +66,7 @@
   request.history = history;
   wire::Body body;
   body.__set_objects(request);
-  Result<wire::Body> reply = Ask(common, body);
+  Result<wire::Body> reply = SendRequest(common, body);
   if (!reply)
     return tl::unexpected<Error>(reply.error());
   return reply->objects_reply;
@@ -76,7 +77,7 @@
   request.here = false;
   wire::Body body;
   body.__set_status(request);
-  Result<wire::Body> reply = Ask(common, body);
+  Result<wire::Body> reply = SendRequest(common, body);
   if (!reply)
     return tl::unexpected<Error>(reply.error());
   return reply->status_reply;
@@ -90,11 +91,11 @@
   namespace po = boost::program_options;
   po::options_description all(options);
   all.add_options()("help,h", "print this");
-  po::positional_options_description places;
+  po::positional_options_description positions;
   if (positional != nullptr)
-    places.add(positional, -1);
+    positions.add(positional, -1);
   try {
-    po::store(po::command_line_parser(arguments).options(all).positional(places).run(), given);
+    po::store(po::command_line_parser(arguments).options(all).positional(positions).run(), given);
     po::notify(given);
   } catch (const po::error& fault) {
     if (!given.contains("help")) {
@@ -114,24 +115,24 @@
 ChangeSet Compare(const std::vector<wire::ObjectText>& present,
                   const std::vector<DeclarationText>& wanted,
                   bool prune) {
-  std::map<std::pair<std::string, std::string>, std::string> standing;
+  std::map<std::pair<std::string, std::string>, std::string> existing;
   for (const wire::ObjectText& object : present)
-    standing[{object.kind, object.name}] = object.body;
+    existing[{object.kind, object.name}] = object.body;
   ChangeSet changes;
   for (const DeclarationText& declaration : wanted) {
-    const auto found = standing.find({declaration.m_kind, declaration.m_name});
+    const auto found = existing.find({declaration.m_kind, declaration.m_name});
     wire::ObjectText object;
     object.kind = declaration.m_kind;
     object.name = declaration.m_name;
     object.body = declaration.m_body;
-    if (found == standing.end())
+    if (found == existing.end())
       changes.m_added.push_back(std::move(object));
     else if (found->second != declaration.m_body)
       changes.m_changed.push_back(std::move(object));
-    if (found != standing.end())
-      standing.erase(found);
+    if (found != existing.end())
+      existing.erase(found);
   }
-  for (const auto& [name, body] : standing) {
+  for (const auto& [name, body] : existing) {
     if (!prune)
       break;
     wire::ObjectKey key;
--- a/apps/poppyway/command.h
+++ b/apps/poppyway/command.h
@@ -22,16 +22,16 @@
   kExitUnreachable = 69,
 };
 
-/// \brief What all commands share.
+/// \brief Options that apply to every command.
 struct CommonOptions {
-  std::vector<Endpoint> m_instances;  ///< Peer endpoints of any instances, tried in turn.
-  bool m_json = false;
-  Duration m_timeout{5'000'000};
+  std::vector<Endpoint> m_instances;  ///< Peer endpoints, tried in this order.
+  bool m_json = false;                ///< Print JSON instead of a table.
+  Duration m_timeout{5'000'000};      ///< Timeout of one request.
 };
 
 using Arguments = std::vector<std::string>;
 
-// Each command takes the words after its name.
+// Each command parses the arguments that follow its name, runs and returns an ExitCode.
 int Apply(const CommonOptions& common, const Arguments& arguments);
 int Diff(const CommonOptions& common, const Arguments& arguments);
 int Get(const CommonOptions& common, const Arguments& arguments);
@@ -43,23 +43,29 @@
 int Check(const CommonOptions& common, const Arguments& arguments);
 int Load(const CommonOptions& common, const Arguments& arguments);
 
-/// \brief Asks the instances in turn until one answers.
-[[nodiscard]] Result<wire::Body> Ask(const CommonOptions& common, const wire::Body& body);
-/// \brief Prints an error and what to do; returns the exit code for it.
-int Report(const Error& error);
-/// \brief All declarations in force at the leader.
+/// \brief Sends a request to the instances in turn until one returns a reply. Retries for up to 5 s
+/// while the instances have no leader. Blocks.
+/// \return the reply, or the error of the last instance that was tried.
+[[nodiscard]] Result<wire::Body> SendRequest(const CommonOptions& common, const wire::Body& body);
+/// \brief Prints an error and a hint to standard error.
+/// \return the exit code for the error.
+int PrintError(const Error& error);
+/// \brief Fetches all declarations in force from the leader.
+/// \param history whether the reply includes the accepted changes.
 [[nodiscard]] Result<wire::ObjectsReply> FetchObjects(const CommonOptions& common, bool history);
-/// \brief The cluster's status.
+/// \brief Fetches the cluster's status from the leader.
 [[nodiscard]] Result<wire::StatusReply> FetchStatus(const CommonOptions& common);
-/// \brief Parses a command's options; prints help or a fault. \return nullopt if it should end,
-/// with the exit code in `exit_code`.
+/// \brief Parses a command's options into `given`. Prints the help text if it is requested, or an
+/// error.
+/// \param positional option that takes the positional arguments; null for none.
+/// \return false if the command must return `exit_code` at once.
 [[nodiscard]] bool ParseArguments(const boost::program_options::options_description& options,
                                   const char* positional,
                                   const Arguments& arguments,
                                   boost::program_options::variables_map& given,
                                   int& exit_code);
 
-/// \brief The change that turns `present` into `wanted`.
+/// \brief Difference between two sets of declarations.
 struct ChangeSet {
   std::vector<wire::ObjectText> m_added;
   std::vector<wire::ObjectText> m_changed;
@@ -69,7 +75,8 @@
     return m_added.empty() && m_changed.empty() && m_removed.empty();
   }
 };
-/// \param prune whether what is not in `wanted` is removed.
+/// \brief Computes the changes that turn `present` into `wanted`.
+/// \param prune whether declarations that are missing from `wanted` are removed.
 [[nodiscard]] ChangeSet Compare(const std::vector<wire::ObjectText>& present,
                                 const std::vector<DeclarationText>& wanted,
                                 bool prune);
--- a/apps/poppyway/configure.cc
+++ b/apps/poppyway/configure.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// apply, diff, get, history, check: everything about declarations.
+// The commands `apply`, `diff`, `get`, `history` and `check`, which work on declarations.
 
 #include <iostream>
 #include <random>
@@ -45,7 +45,7 @@
   return all;
 }
 
-/// Instances whose version in force is below `version`.
+/// Describes the instances whose version in force is below `version`.
 std::vector<std::string> Lagging(const wire::StatusReply& status, std::int64_t version) {
   std::vector<std::string> lagging;
   for (const wire::InstanceStatus& instance : status.instances) {
@@ -95,15 +95,15 @@
   }
   for (const std::string& file : settings) {
     if (const Result<DaemonSettings> read = LoadDaemonSettings(file); !read)
-      return Report(read.error());
+      return PrintError(read.error());
   }
   std::size_t count = 0;
   if (!paths.empty()) {
     const Result<std::vector<DeclarationText>> all = LoadAll(paths);
     if (!all)
-      return Report(all.error());
+      return PrintError(all.error());
     if (const Result<Catalogue> compiled = Compile(*all, 1); !compiled)
-      return Report(compiled.error());
+      return PrintError(compiled.error());
     count = all->size();
   }
   if (common.m_json)
@@ -139,10 +139,10 @@
   }
   const Result<std::vector<DeclarationText>> wanted = LoadAll(paths);
   if (!wanted)
-    return Report(wanted.error());
+    return PrintError(wanted.error());
   const Result<wire::ObjectsReply> present = FetchObjects(common, false);
   if (!present)
-    return Report(present.error());
+    return PrintError(present.error());
   const ChangeSet changes = Compare(present->objects, *wanted, given.contains("prune"));
   if (changes.empty() && !named) {
     std::cout << "nothing to change at version " << present->version << "\n";
@@ -153,7 +153,8 @@
   change.change_id = change_id;
   change.base_version = base >= 0 ? base : present->version;
   change.author = author;
-  // A named change is sent whole, so that a resend is the same change whatever stands by then.
+  // A change with an explicit id contains all declarations, so that a retry sends the same change
+  // even if the configuration has changed since.
   const ChangeSet sent = named ? Compare({}, *wanted, false) : changes;
   change.upserts = sent.m_added;
   change.upserts.insert(change.upserts.end(), sent.m_changed.begin(), sent.m_changed.end());
@@ -162,15 +163,15 @@
   propose.commands.emplace_back().__set_config(change);
   wire::Body body;
   body.__set_propose(propose);
-  const Result<wire::Body> reply = Ask(common, body);
+  const Result<wire::Body> reply = SendRequest(common, body);
   if (!reply) {
     std::cerr << "poppyway: to resend safely: --change-id " << change_id << " --base "
               << change.base_version << "\n";
-    return Report(reply.error());
+    return PrintError(reply.error());
   }
   const wire::ConfigOutcome& outcome = reply->propose_reply.results.at(0).config;
   if (outcome.code != 0)
-    return Report({static_cast<ResultCode>(outcome.code), outcome.message});
+    return PrintError({static_cast<ResultCode>(outcome.code), outcome.message});
   if (common.m_json)
     std::cout << json{{"version", outcome.version}, {"change_id", change_id}} << "\n";
   else
@@ -190,10 +191,10 @@
     return exit_code;
   const Result<std::vector<DeclarationText>> wanted = LoadAll(paths);
   if (!wanted)
-    return Report(wanted.error());
+    return PrintError(wanted.error());
   const Result<wire::ObjectsReply> present = FetchObjects(common, false);
   if (!present)
-    return Report(present.error());
+    return PrintError(present.error());
   const ChangeSet changes = Compare(present->objects, *wanted, given.contains("prune"));
   PrintChanges(changes);
   return changes.empty() ? kExitOk : kExitDiffers;
@@ -209,7 +210,7 @@
     return exit_code;
   const Result<wire::ObjectsReply> present = FetchObjects(common, false);
   if (!present)
-    return Report(present.error());
+    return PrintError(present.error());
   bool found = false;
   for (const wire::ObjectText& object : present->objects) {
     const bool wanted =
@@ -221,8 +222,8 @@
   }
   if (found || name.empty())
     return kExitOk;
-  return Report({ResultCode::kNotFound,
-                 "no declaration '" + name + "' at version " + std::to_string(present->version)});
+  return PrintError({ResultCode::kNotFound, "no declaration '" + name + "' at version " +
+                                                std::to_string(present->version)});
 }
 
 int History(const CommonOptions& common, const Arguments& arguments) {
@@ -235,7 +236,7 @@
     return exit_code;
   const Result<wire::ObjectsReply> present = FetchObjects(common, true);
   if (!present)
-    return Report(present.error());
+    return PrintError(present.error());
   json rows = json::array();
   for (auto row = present->history.rbegin(); row != present->history.rend() && rows.size() < count;
        ++row) {
--- a/apps/poppyway/evacuate.cc
+++ b/apps/poppyway/evacuate.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// evacuate: a data centre gets nothing new, or work again.
+// The command `evacuate`: stops new work for a data centre, or ends an evacuation.
 
 #include <algorithm>
 #include <iostream>
@@ -10,7 +10,7 @@
 namespace poppyway::cli {
 namespace {
 
-/// The number of the data centre's last order; zero: none was given.
+/// Number of the data centre's last evacuation order; zero if there is none.
 std::int64_t LastOrderOf(const wire::StatusReply& status, const std::string& data_centre) {
   const auto& all = status.evacuations;
   const auto found = std::find_if(all.begin(), all.end(), [&](const wire::EvacuationStatus& one) {
@@ -39,18 +39,19 @@
   wire::EvacuationOrder order;
   order.data_centre = what[0];
   order.ends = given.contains("end");
-  // Read once and sent with each try: one that is held up on its way can't undo a later order.
+  // The last order's number is read once and sent with each attempt, so that a delayed duplicate
+  // can't undo a later order.
   const Result<wire::StatusReply> status = FetchStatus(common);
   if (!status)
-    return Report(status.error());
+    return PrintError(status.error());
   order.__set_known(LastOrderOf(*status, order.data_centre));
   wire::Body body;
   body.__set_evacuation_order(order);
-  const Result<wire::Body> reply = Ask(common, body);
+  const Result<wire::Body> reply = SendRequest(common, body);
   if (!reply)
-    return Report(reply.error());
+    return PrintError(reply.error());
   if (reply->__isset.error)
-    return Report({static_cast<ResultCode>(reply->error.code), reply->error.message});
+    return PrintError({static_cast<ResultCode>(reply->error.code), reply->error.message});
   std::cout << "data centre " << order.data_centre
             << (order.ends ? " gets work again" : " gets nothing new; see poppyway status") << "\n";
   return kExitOk;
--- a/apps/poppyway/load.cc
+++ b/apps/poppyway/load.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// load: a bounded, open-loop load with checked answers.
+// The command `load`: generates an open-loop load of limited duration and checks the responses.
 
 #include <algorithm>
 #include <csignal>
@@ -80,7 +80,7 @@
   for (const std::string& text : targets) {
     const Result<Endpoint> endpoint = ParseEndpoint(text);
     if (!endpoint)
-      return Report(endpoint.error());
+      return PrintError(endpoint.error());
     if (!endpoint->m_address.starts_with("127.")) {
       std::cerr << "poppyway load: targets must be loopback addresses\n";
       return kExitUsage;
@@ -93,7 +93,7 @@
   }
   const Result<LoadPlan> plan = ReadLoadPlan(path);
   if (!plan)
-    return Report(plan.error());
+    return PrintError(plan.error());
   settings.m_balancer_lag = std::chrono::milliseconds(lag_ms);
   std::signal(SIGPIPE, SIG_IGN);
   EventLoop loop;
--- a/apps/poppyway/load_plan.cc
+++ b/apps/poppyway/load_plan.cc
@@ -12,7 +12,7 @@
 namespace poppyway::cli {
 namespace {
 
-constexpr std::int64_t kBytesPerToken = 4;
+constexpr std::int64_t kBytesPerToken = 4;  // The estimate that instances use for prompts.
 constexpr std::int64_t kMaxRequests = 1'000'000;
 
 constexpr std::array kPlanKeys = {
--- a/apps/poppyway/load_runner.cc
+++ b/apps/poppyway/load_runner.cc
@@ -12,10 +12,11 @@
 using nlohmann::json;
 
 constexpr Duration kProbeInterval{100'000};
-constexpr Duration kTail{30'000'000};  // How long answers are awaited after the last arrival.
-constexpr int kIdleMillis = 1;
+// How long outstanding responses are awaited after the last request was sent.
+constexpr Duration kDrainTimeout{30'000'000};
+constexpr int kIdleMillis = 1;  // Resolution of arrival times.
 
-/// The answer that the stand-in engine owes to this prompt; see fakes/engine_model.cc.
+/// Token `index` of the response of a fake engine to this prompt; see fakes/engine_model.cc.
 std::string ExpectedToken(std::string_view prompt, std::int64_t index) {
   char text[10];
   std::snprintf(text, sizeof(text), "%08x ",
@@ -30,7 +31,7 @@
       .dump();
 }
 
-/// Collects the content of a stream's events, however they were cut.
+/// Joins the content of a stream's events. Sets `ended` if the end marker is among them.
 std::string StreamContent(const std::string& body, bool& ended) {
   std::string content;
   std::size_t at = 0;
@@ -58,7 +59,7 @@
   const LoadClass* m_load = nullptr;
   std::string m_sent_body;
   std::unique_ptr<Upstream> m_upstream;
-  Instant m_begun{};
+  Instant m_started{};
   Instant m_first{};
   int m_status = 0;
   std::vector<Header> m_headers;
@@ -78,47 +79,48 @@
 LoadRunner::~LoadRunner() = default;
 
 void LoadRunner::Run() {
-  m_begun = ReadClock();
-  // The balancer learns who is ready before the first caller arrives.
-  const Instant first = m_begun + m_settings.m_balancer_lag + 4 * kProbeInterval;
+  m_started = ReadClock();
+  // Probes long enough for the balancer to know the readiness of all targets before the first
+  // request.
+  const Instant first = m_started + m_settings.m_balancer_lag + 4 * kProbeInterval;
   while (ReadClock() < first) {
     ProbeTargets(ReadClock());
     m_loop.RunFor(kIdleMillis);
   }
-  m_begun = ReadClock();
-  Instant last = m_begun;
+  m_started = ReadClock();
+  Instant last = m_started;
   while (m_next < m_requests.size() || !m_calls.empty()) {
     const Instant now = ReadClock();
-    m_over.clear();
-    m_old_probes.clear();
+    m_finished.clear();
+    m_finished_probes.clear();
     ProbeTargets(now);
     StartDue(now);
     if (m_next < m_requests.size())
       last = now;
-    if (now - last > kTail)
+    if (now - last > kDrainTimeout)
       break;
     m_loop.RunFor(kIdleMillis);
   }
   for (auto& [number, call] : m_calls)
-    NoteCut(*call, "no answer by the end of the run");
+    RecordCut(*call, "no answer by the end of the run");
   m_calls.clear();
 }
 
 void LoadRunner::StartDue(Instant now) {
   while (m_next < m_requests.size() && m_calls.size() < m_settings.m_max_open &&
-         m_begun + m_requests[m_next].m_at <= now)
+         m_started + m_requests[m_next].m_at <= now)
     Start(m_requests[m_next++], now);
 }
 
 std::size_t LoadRunner::PickTarget() {
   for (std::size_t i = 0; i < m_targets.size(); ++i) {
-    const std::size_t index = (m_turn + i) % m_targets.size();
+    const std::size_t index = (m_next_target + i) % m_targets.size();
     if (!m_targets[index].m_ready)
       continue;
-    m_turn = index + 1;
+    m_next_target = index + 1;
     return index;
   }
-  return m_turn++ % m_targets.size();
+  return m_next_target++ % m_targets.size();
 }
 
 void LoadRunner::Start(const PlannedRequest& request, Instant now) {
@@ -129,7 +131,7 @@
   m_calls.emplace(request.m_number, std::move(owned));
   call.m_request = &request;
   call.m_load = &load;
-  call.m_begun = now;
+  call.m_started = now;
   const bool model = load.m_service_path.empty();
   call.m_sent_body = model ? ModelBody(request, load.m_stream) : request.m_prompt;
   const Endpoint& target = m_targets[PickTarget()].m_endpoint;
@@ -163,7 +165,7 @@
                                                std::move(events));
 }
 
-bool LoadRunner::IsRight(const Call& call) {
+bool LoadRunner::IsCorrect(const Call& call) {
   const LoadClass& load = *call.m_load;
   const json answer = json::parse(call.m_body, nullptr, /*allow_exceptions=*/false);
   if (!load.m_service_path.empty()) {
@@ -181,16 +183,16 @@
   return answer.is_object() && answer["choices"][0]["message"].value("content", "") == expected;
 }
 
-void LoadRunner::NoteCut(const Call& call, const std::string& why) {
+void LoadRunner::RecordCut(const Call& call, const std::string& why) {
   ClassResult& result = m_results[call.m_request->m_class];
   ++result.m_cut;
   ++result.m_cut_reasons[why];
 }
 
-void LoadRunner::NoteAnswer(const Call& call, Duration took) {
+void LoadRunner::RecordSuccess(const Call& call, Duration took) {
   ClassResult& result = m_results[call.m_request->m_class];
   const bool in_time = took <= std::chrono::milliseconds(call.m_load->m_deadline_ms);
-  if (!IsRight(call))
+  if (!IsCorrect(call))
     ++result.m_wrong;
   else if (in_time)
     ++result.m_good;
@@ -198,11 +200,11 @@
     ++result.m_late;
   if (call.m_load->m_service_path.empty())
     m_tokens += call.m_request->m_output_tokens;
-  result.m_first_token.Record(call.m_first - call.m_begun);
+  result.m_first_token.Record(call.m_first - call.m_started);
   result.m_total.Record(took);
 }
 
-void LoadRunner::NoteRefusal(const Call& call, Duration took) {
+void LoadRunner::RecordRejection(const Call& call, Duration took) {
   ClassResult& result = m_results[call.m_request->m_class];
   const std::string code = HeaderValue(call.m_headers, "poppyway-code");
   const int number = code.empty() ? call.m_status : std::atoi(code.c_str());
@@ -216,23 +218,23 @@
 }
 
 void LoadRunner::Finish(Call& call, const std::string& failure) {
-  const Duration took = ReadClock() - call.m_begun;
+  const Duration took = ReadClock() - call.m_started;
   if (!failure.empty())
-    NoteCut(call, failure);
+    RecordCut(call, failure);
   else if (call.m_status == 200)
-    NoteAnswer(call, took);
+    RecordSuccess(call, took);
   else
-    NoteRefusal(call, took);
-  // Destroyed outside its own callback.
+    RecordRejection(call, took);
+  // The call must not be destroyed within its own callback; Run() destroys it later.
   const auto found = m_calls.find(call.m_request->m_number);
-  m_over.push_back(std::move(found->second));
+  m_finished.push_back(std::move(found->second));
   m_calls.erase(found);
 }
 
 void LoadRunner::ProbeTargets(Instant now) {
   for (Target& target : m_targets) {
-    if (now - target.m_seen_at >= m_settings.m_balancer_lag)
-      target.m_ready = target.m_seen;
+    if (now - target.m_changed_at >= m_settings.m_balancer_lag)
+      target.m_ready = target.m_probed_ready;
   }
   if (now < m_probe_due)
     return;
@@ -240,21 +242,21 @@
   for (Target& target : m_targets) {
     const std::string request =
         "GET /health/ready HTTP/1.1\r\nhost: " + ToText(target.m_endpoint) + "\r\n\r\n";
-    const auto saw = [&target](bool ready) {
-      if (target.m_seen == ready && target.m_seen_at != Instant{})
+    const auto record = [&target](bool ready) {
+      if (target.m_probed_ready == ready && target.m_changed_at != Instant{})
         return;
-      target.m_seen = ready;
-      target.m_seen_at = ReadClock();
+      target.m_probed_ready = ready;
+      target.m_changed_at = ReadClock();
     };
     UpstreamEvents events;
     events.m_may_send = [] { return true; };
-    events.m_on_head = [saw](const UpstreamHead& head) { saw(head.m_status == 200); };
+    events.m_on_head = [record](const UpstreamHead& head) { record(head.m_status == 200); };
     events.m_on_data = [](std::string_view) {};
     events.m_on_complete = [] {};
-    events.m_on_failure = [saw](bool, const std::string&) { saw(false); };
+    events.m_on_failure = [record](bool, const std::string&) { record(false); };
     if (target.m_probe) {
       target.m_probe->SuppressEvents();
-      m_old_probes.push_back(std::move(target.m_probe));
+      m_finished_probes.push_back(std::move(target.m_probe));
     }
     target.m_probe =
         std::make_unique<Upstream>(m_pools, target.m_endpoint, request, false, std::move(events));
--- a/apps/poppyway/load_runner.h
+++ b/apps/poppyway/load_runner.h
@@ -15,35 +15,37 @@
 
 namespace poppyway::cli {
 
-/// \brief What became of one class.
+/// \brief Results of one class of callers.
 struct ClassResult {
   std::int64_t m_offered = 0;
-  std::int64_t m_good = 0;   ///< Answered whole, right and in time.
-  std::int64_t m_late = 0;   ///< Answered whole and right, after the deadline.
-  std::int64_t m_wrong = 0;  ///< Answered with what is not the request's own answer.
-  std::int64_t m_cut = 0;    ///< The answer broke off, or no answer came.
+  std::int64_t m_good = 0;   ///< Complete, correct and before the deadline.
+  std::int64_t m_late = 0;   ///< Complete and correct, but after the deadline.
+  std::int64_t m_wrong = 0;  ///< Status 200 with a body that isn't this request's response.
+  std::int64_t m_cut = 0;    ///< The response was truncated or missing.
   std::map<std::string, std::int64_t> m_cut_reasons;
-  std::int64_t m_bad_refusals = 0;        ///< Refusals without code, run state or Retry-After.
-  std::map<int, std::int64_t> m_refused;  ///< By result code.
+  std::int64_t m_bad_refusals = 0;        ///< Rejections without code, run state or Retry-After.
+  std::map<int, std::int64_t> m_refused;  ///< Rejections by result code.
   DurationHistogram m_first_token;
   DurationHistogram m_total;
-  DurationHistogram m_refusal;
+  DurationHistogram m_refusal;  ///< Time to a rejection.
 };
 
 /// \brief Settings of a run.
 struct LoadSettings {
   std::vector<Endpoint> m_targets;
-  Duration m_balancer_lag{500'000};  ///< Age of what the stand-in balancer knows of readiness.
+  Duration m_balancer_lag{500'000};  ///< Delay before the simulated balancer sees readiness.
   std::uint64_t m_seed = 1;
-  std::size_t m_max_open = 4000;
+  std::size_t m_max_open = 4000;  ///< Limit of concurrent requests.
 };
 
-/// \brief Runs a load in real time against instances, as the platform's balancer would spread it.
+/// \brief Runs a load in real time against instances and distributes the requests as the platform's
+/// load balancer would: round robin over the instances that it believes ready. Not thread-safe.
 class LoadRunner {
  public:
   LoadRunner(EventLoop& loop, LoadPlan plan, LoadSettings settings);
   ~LoadRunner();
-  /// Runs to the end; blocks.
+  /// \brief Runs the load and blocks until it ends, at most 30 s after the last request
+  /// was sent.
   void Run();
   [[nodiscard]] const std::vector<ClassResult>& results() const { return m_results; }
   [[nodiscard]] std::int64_t tokens() const { return m_tokens; }
@@ -52,20 +54,20 @@
   struct Call;
   struct Target {
     Endpoint m_endpoint;
-    bool m_ready = false;  ///< As the balancer sees it, late.
-    bool m_seen = false;   ///< What the last probe saw.
-    Instant m_seen_at{};
+    bool m_ready = false;         ///< What the balancer sees, delayed by m_balancer_lag.
+    bool m_probed_ready = false;  ///< Result of the last probe.
+    Instant m_changed_at{};       ///< When the result last changed.
     std::unique_ptr<Upstream> m_probe;
   };
 
   void StartDue(Instant now);
   void Start(const PlannedRequest& request, Instant now);
   void Finish(Call& call, const std::string& failure);
-  /// True if the answer is the one that the stand-ins owe to this very request.
-  [[nodiscard]] static bool IsRight(const Call& call);
-  void NoteCut(const Call& call, const std::string& why);
-  void NoteAnswer(const Call& call, Duration took);
-  void NoteRefusal(const Call& call, Duration took);
+  /// True if the body is the response that the fake servers compute for this request.
+  [[nodiscard]] static bool IsCorrect(const Call& call);
+  void RecordCut(const Call& call, const std::string& why);
+  void RecordSuccess(const Call& call, Duration took);
+  void RecordRejection(const Call& call, Duration took);
   void ProbeTargets(Instant now);
   [[nodiscard]] std::size_t PickTarget();
 
@@ -74,14 +76,14 @@
   LoadSettings m_settings;
   std::vector<PlannedRequest> m_requests;
   std::size_t m_next = 0;
-  Instant m_begun{};
+  Instant m_started{};
   Instant m_probe_due{};
   std::vector<Target> m_targets;
-  std::size_t m_turn = 0;
+  std::size_t m_next_target = 0;  ///< Position of the round robin.
   UpstreamPools m_pools;
   std::map<std::uint64_t, std::unique_ptr<Call>> m_calls;
-  std::vector<std::unique_ptr<Call>> m_over;
-  std::vector<std::unique_ptr<Upstream>> m_old_probes;
+  std::vector<std::unique_ptr<Call>> m_finished;  ///< Destroyed outside their callbacks.
+  std::vector<std::unique_ptr<Upstream>> m_finished_probes;
   std::vector<ClassResult> m_results;
   std::int64_t m_tokens = 0;
 };
--- a/apps/poppyway/main.cc
+++ b/apps/poppyway/main.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// The operators' command line.
+// Entry point of `poppyway`, the operators' command-line client.
 
 #include <array>
 #include <iostream>
@@ -62,12 +62,12 @@
   hidden.add_options()("rest", po::value(&rest));
   po::options_description all;
   all.add(options).add(hidden);
-  // Options before the command are common; everything from the command on is its own.
+  // Options before the command name apply to all commands; the arguments after it are its own.
   int split = 1;
   while (split < argc && argv[split][0] == '-') {
-    const std::string word = argv[split];
-    const bool takes_value = word.find('=') == std::string::npos && word != "-h" &&
-                             word != "--help" && !(word.size() > 2 && word[1] != '-');
+    const std::string option = argv[split];
+    const bool takes_value = option.find('=') == std::string::npos && option != "-h" &&
+                             option != "--help" && !(option.size() > 2 && option[1] != '-');
     split += takes_value ? 2 : 1;
   }
   split = std::min(split, argc);
@@ -89,7 +89,7 @@
   for (const std::string& text : instances) {
     const Result<Endpoint> endpoint = ParseEndpoint(text);
     if (!endpoint)
-      return Report(endpoint.error());
+      return PrintError(endpoint.error());
     common.m_instances.push_back(*endpoint);
   }
   const std::string name = argv[split];
--- a/apps/poppyway/operate.cc
+++ b/apps/poppyway/operate.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// status and drain.
+// The commands `status` and `drain`.
 
 #include <iomanip>
 #include <iostream>
@@ -100,7 +100,7 @@
 int DrainInstance(const CommonOptions& common, const std::string& name, int wait_s) {
   const Result<wire::StatusReply> status = FetchStatus(common);
   if (!status)
-    return Report(status.error());
+    return PrintError(status.error());
   for (const wire::InstanceStatus& instance : status->instances) {
     if (instance.instance != name)
       continue;
@@ -110,7 +110,7 @@
     const Result<wire::Body> reply = CallOnce(
         instance.address, static_cast<std::uint16_t>(instance.port), body, common.m_timeout);
     if (!reply)
-      return Report(reply.error());
+      return PrintError(reply.error());
     std::cout << "instance " << name << " is draining\n";
     const Instant begun = ReadClock();
     while (ReadClock() - begun < std::chrono::seconds(wait_s)) {
@@ -125,13 +125,14 @@
     }
     return wait_s == 0 ? kExitOk : kExitFailed;
   }
-  return Report({ResultCode::kNotFound, "no live instance '" + name + "'; see poppyway status"});
+  return PrintError(
+      {ResultCode::kNotFound, "no live instance '" + name + "'; see poppyway status"});
 }
 
 int DrainServer(const CommonOptions& common, const std::string& name, bool undo) {
   const Result<wire::ObjectsReply> present = FetchObjects(common, false);
   if (!present)
-    return Report(present.error());
+    return PrintError(present.error());
   for (const wire::ObjectText& object : present->objects) {
     if (object.kind != "server" || object.name != name)
       continue;
@@ -147,17 +148,17 @@
     propose.commands.emplace_back().__set_config(change);
     wire::Body body;
     body.__set_propose(propose);
-    const Result<wire::Body> reply = Ask(common, body);
+    const Result<wire::Body> reply = SendRequest(common, body);
     if (!reply)
-      return Report(reply.error());
+      return PrintError(reply.error());
     const wire::ConfigOutcome& outcome = reply->propose_reply.results.at(0).config;
     if (outcome.code != 0)
-      return Report({static_cast<ResultCode>(outcome.code), outcome.message});
+      return PrintError({static_cast<ResultCode>(outcome.code), outcome.message});
     std::cout << "backend server " << name << (undo ? " serves again" : " gets no new work")
               << " from version " << outcome.version << "\n";
     return kExitOk;
   }
-  return Report({ResultCode::kNotFound, "no backend server '" + name + "' is declared"});
+  return PrintError({ResultCode::kNotFound, "no backend server '" + name + "' is declared"});
 }
 
 }  // namespace
@@ -170,7 +171,7 @@
     return exit_code;
   const Result<wire::StatusReply> status = FetchStatus(common);
   if (!status)
-    return Report(status.error());
+    return PrintError(status.error());
   if (common.m_json)
     std::cout << ToJson(*status).dump(2) << "\n";
   else
--- a/apps/poppyway/rollout.cc
+++ b/apps/poppyway/rollout.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// rollout start and rollout status.
+// The commands `rollout start` and `rollout status`.
 
 #include <iostream>
 
@@ -28,8 +28,8 @@
   return "unknown";
 }
 
-/// What the reply says against the request; nullopt: nothing.
-std::optional<Error> Refusal(const Result<wire::Body>& reply) {
+/// The error that the reply carries; nullopt if the request succeeded.
+std::optional<Error> ErrorOf(const Result<wire::Body>& reply) {
   if (!reply)
     return reply.error();
   if (reply->__isset.error)
@@ -40,8 +40,8 @@
 int StartRollout(const CommonOptions& common, const wire::RolloutOrder& order) {
   wire::Body body;
   body.__set_rollout_order(order);
-  if (const std::optional<Error> refusal = Refusal(Ask(common, body)))
-    return Report(*refusal);
+  if (const std::optional<Error> error = ErrorOf(SendRequest(common, body)))
+    return PrintError(*error);
   std::cout << "pool " << order.pool << " is being rolled out to version " << order.target
             << "; see poppyway rollout status " << order.pool << "\n";
   return kExitOk;
@@ -50,9 +50,9 @@
 int RolloutStatus(const CommonOptions& common, const std::string& pool) {
   wire::Body body;
   body.__set_rollout_request(pool);
-  const Result<wire::Body> reply = Ask(common, body);
-  if (const std::optional<Error> refusal = Refusal(reply))
-    return Report(*refusal);
+  const Result<wire::Body> reply = SendRequest(common, body);
+  if (const std::optional<Error> error = ErrorOf(reply))
+    return PrintError(*error);
   const wire::Rollout& rollout = reply->rollout;
   if (common.m_json) {
     std::cout << json({{"pool", rollout.pool},
