--- a/bench/fleet.cc
+++ b/bench/fleet.cc
@@ -12,16 +12,16 @@
 namespace poppyway::bench {
 namespace {
 
-constexpr Duration kStep{1000};
-constexpr int kTickSteps = 5;
-constexpr Duration kTail{60'000'000};  // After the last arrival.
+constexpr Duration kStep{1000};            // Resolution of the simulation.
+constexpr int kTickSteps = 5;              // Gateways and broker tick every 5 ms.
+constexpr Duration kMaxDrain{60'000'000};  // Limit of the run after the end of the load.
 constexpr std::size_t kMaxViolations = 5;
 constexpr std::size_t kMaxQueue = 20'000;
-constexpr Duration kSlowWindow{250'000};
-constexpr Duration kBalancerLag{1'000'000};
+constexpr Duration kSlowWindow{250'000};     // Window over which the slow engines' share is taken.
+constexpr Duration kBalancerLag{1'000'000};  // Until the balancer avoids a dead gateway.
 
-/// A request in the run.
-struct Live {
+/// State of a request during the run.
+struct RequestState {
   const Arrival* m_arrival = nullptr;
   int m_gateway = 0;
   int m_dispatches = 0;
@@ -60,27 +60,27 @@
     m_reported.resize(m_engines.size(), 0);
     m_clients.resize(static_cast<std::size_t>(scenario.m_gateways));
     m_last_sent.resize(m_clients.size());
-    m_live.resize(scenario.m_arrivals.size() + 1);
+    m_states.resize(scenario.m_arrivals.size() + 1);
     if (strategy == Strategy::kPoppyway)
       StartBroker(1, Instant{});
     m_broker.m_recovering_until = Instant{};
   }
 
   Outcome Run() {
-    const Instant end = Instant(m_scenario.m_length + kTail);
+    const Instant end = Instant(m_scenario.m_length + kMaxDrain);
     int step = 0;
     for (Instant now{}; now < end; now += kStep, ++step) {
-      Disturb(now);
+      InjectFaults(now);
       Arrive(now);
       if (m_strategy == Strategy::kPoppyway)
         Exchange(now, step % kTickSteps == 0);
       if (step % kTickSteps == 0)
-        ExpireSent(now);
+        ExpireDispatched(now);
       Advance(now + kStep);
       if (now - m_last_report >= m_scenario.m_report_age)
         Report(now);
-      const bool quiet = m_next == m_scenario.m_arrivals.size() && m_open == 0;
-      if (quiet)
+      const bool finished = m_next == m_scenario.m_arrivals.size() && m_open == 0;
+      if (finished)
         break;
     }
     Finish();
@@ -88,7 +88,7 @@
   }
 
  private:
-  void Violate(const std::string& what) {
+  void AddViolation(const std::string& what) {
     if (m_outcome.m_violations.size() < kMaxViolations)
       m_outcome.m_violations.push_back(what);
   }
@@ -103,23 +103,23 @@
     m_broker_up = true;
   }
 
-  void Disturb(Instant now) {
+  void InjectFaults(Instant now) {
     const auto due = [now](Instant when) { return when != Instant{} && now == when; };
     if (due(m_scenario.m_slow_at)) {
       for (std::size_t e = 0; e < m_engines.size(); e += 10)
         m_engines[e].SetSpeed(1.0 / 3);
     }
     if (due(m_scenario.m_gateway_lost))
-      LoseGateway(now);
+      KillGateway(now);
     if (m_strategy != Strategy::kPoppyway)
       return;
     if (due(m_scenario.m_broker_lost)) {
       m_broker_up = false;
       m_to_broker.clear();
       m_to_gateway.clear();
-      m_broker_back = now + m_scenario.m_broker.m_lease + m_scenario.m_broker.m_lease_margin;
+      m_broker_restart = now + m_scenario.m_broker.m_lease + m_scenario.m_broker.m_lease_margin;
     }
-    if (due(m_broker_back)) {
+    if (due(m_broker_restart)) {
       StartBroker(2, now);
       for (PoolClient& client : m_clients) {
         client.m_resync = true;
@@ -128,16 +128,16 @@
     }
   }
 
-  void LoseGateway(Instant now) {
+  void KillGateway(Instant now) {
     m_gateway_down = true;
-    m_balanced_from = now + kBalancerLag;
-    for (RequestRef ref = 1; ref < static_cast<RequestRef>(m_live.size()); ++ref) {
-      Live& live = m_live[static_cast<std::size_t>(ref)];
-      if (live.m_arrival == nullptr || live.m_ended || live.m_gateway != 0)
+    m_balancer_updated = now + kBalancerLag;
+    for (RequestRef ref = 1; ref < static_cast<RequestRef>(m_states.size()); ++ref) {
+      RequestState& state = m_states[static_cast<std::size_t>(ref)];
+      if (state.m_arrival == nullptr || state.m_ended || state.m_gateway != 0)
         continue;
-      if (live.m_engine >= 0)
+      if (state.m_engine >= 0)
         Cancel(ref, "instance_lost");
-      End(live, "instance_lost");
+      End(state, "instance_lost");
     }
   }
 
@@ -145,30 +145,30 @@
     while (m_next < m_scenario.m_arrivals.size() && m_scenario.m_arrivals[m_next].m_at <= now) {
       const Arrival& arrival = m_scenario.m_arrivals[m_next++];
       const auto ref = static_cast<RequestRef>(m_next);
-      Live& live = m_live[static_cast<std::size_t>(ref)];
-      live.m_arrival = &arrival;
-      live.m_gateway = arrival.m_gateway;
-      // The balancer notices a dead gateway late.
-      if (live.m_gateway == 0 && m_gateway_down && now >= m_balanced_from)
-        live.m_gateway = 1 + static_cast<int>(m_next) % (m_scenario.m_gateways - 1);
+      RequestState& state = m_states[static_cast<std::size_t>(ref)];
+      state.m_arrival = &arrival;
+      state.m_gateway = arrival.m_gateway;
+      // The balancer stops sending requests to a dead gateway after kBalancerLag.
+      if (state.m_gateway == 0 && m_gateway_down && now >= m_balancer_updated)
+        state.m_gateway = 1 + static_cast<int>(m_next) % (m_scenario.m_gateways - 1);
       ++m_open;
       ++m_outcome.m_tiers[arrival.m_tier].m_offered;
-      if (live.m_gateway == 0 && m_gateway_down)
-        End(live, "instance_lost");
+      if (state.m_gateway == 0 && m_gateway_down)
+        End(state, "instance_lost");
       else if (m_strategy == Strategy::kPoppyway)
         Admit(ref, now);
       else
-        Submit(ref, ChooseBlind(arrival), now);
+        Submit(ref, ChooseBaseline(arrival), now);
     }
   }
 
   // ---- Baselines -----------------------------------------------------------------------------
 
-  int ChooseBlind(const Arrival& arrival) {
+  int ChooseBaseline(const Arrival& arrival) {
     const auto count = static_cast<int>(m_engines.size());
     switch (m_strategy) {
       case Strategy::kRoundRobin:
-        return static_cast<int>(m_turns[arrival.m_gateway]++ % count);
+        return static_cast<int>(m_round_robin[arrival.m_gateway]++ % count);
       case Strategy::kLeastReported:
         return static_cast<int>(std::min_element(m_reported.begin(), m_reported.end()) -
                                 m_reported.begin());
@@ -199,10 +199,10 @@
       m_reported[e] = m_engines[e].queued();
   }
 
-  // ---- poppyway ------------------------------------------------------------------------------
+  // ---- Poppyway ------------------------------------------------------------------------------
 
   WaitingRequest ToWaiting(RequestRef ref) const {
-    const Arrival& arrival = *m_live[static_cast<std::size_t>(ref)].m_arrival;
+    const Arrival& arrival = *m_states[static_cast<std::size_t>(ref)].m_arrival;
     WaitingRequest request;
     request.m_ref = ref;
     request.m_tier = arrival.m_tier;
@@ -216,46 +216,46 @@
   }
 
   void Admit(RequestRef ref, Instant now) {
-    Live& live = m_live[static_cast<std::size_t>(ref)];
-    PoolClient& client = ClientOf(live);
+    RequestState& state = m_states[static_cast<std::size_t>(ref)];
+    PoolClient& client = ClientOf(state);
     const Admission admission = AdmitRequest(client, ToWaiting(ref), kMaxQueue, now);
     if (admission.m_evict)
       RefuseWaiting(client, *admission.m_evict, ResultCode::kQueueFull);
     if (admission.m_code != ResultCode::kOk) {
-      NoteRefusal(client, live, admission.m_code);
+      RecordRefusal(client, state, admission.m_code);
       return;
     }
-    m_last_admitted[live.m_arrival->m_tier] =
-        std::max(m_last_admitted[live.m_arrival->m_tier], client.m_floor_epoch);
+    m_last_admitted[state.m_arrival->m_tier] =
+        std::max(m_last_admitted[state.m_arrival->m_tier], client.m_floor_epoch);
     const std::optional<Credit> credit = DispatchOrEnqueue(client, ToWaiting(ref), m_ids, now);
     if (credit)
-      Spend(ref, *credit, now);
+      DispatchOn(ref, *credit, now);
   }
 
-  /// The rule of the floor, over all gateways: see `ShedFloor`.
-  void NoteRefusal(const PoolClient& client, Live& live, ResultCode code) {
-    const Tier tier = live.m_arrival->m_tier;
+  /// Checks the invariant of the shed floor over all gateways: see `ShedFloor`.
+  void RecordRefusal(const PoolClient& client, RequestState& state, ResultCode code) {
+    const Tier tier = state.m_arrival->m_tier;
     if (code == ResultCode::kOverload) {
       for (Tier lower = tier + 1; lower < kTiers; ++lower) {
         if (m_last_admitted[lower] >= client.m_floor_epoch)
-          Violate("tier " + std::to_string(tier) + " shed while tier " + std::to_string(lower) +
-                  " was admitted");
+          AddViolation("tier " + std::to_string(tier) + " shed while tier " +
+                       std::to_string(lower) + " was admitted");
       }
     }
-    if (live.m_dispatches > 0)
-      Violate("a refusal that says not run has a dispatch");
-    End(live, std::string(ResultInfoOf(code).m_name));
+    if (state.m_dispatches > 0)
+      AddViolation("a refusal that says not run has a dispatch");
+    End(state, std::string(ResultInfoOf(code).m_name));
   }
 
   void RefuseWaiting(PoolClient& client, RequestRef ref, ResultCode code) {
     if (client.m_queue.Remove(ref)) {
       client.m_dirty = true;
-      NoteRefusal(client, m_live[static_cast<std::size_t>(ref)], code);
+      RecordRefusal(client, m_states[static_cast<std::size_t>(ref)], code);
     }
   }
 
-  void Spend(RequestRef ref, const Credit& credit, Instant now) {
-    m_live[static_cast<std::size_t>(ref)].m_credit = credit;
+  void DispatchOn(RequestRef ref, const Credit& credit, Instant now) {
+    m_states[static_cast<std::size_t>(ref)].m_credit = credit;
     const int engine = m_index.at(credit.m_engine);
     if (m_in_flight[engine] >= m_scenario.m_slots)
       ++(credit.m_id < 0 ? m_outcome.m_over_fair_share : m_outcome.m_over_budget);
@@ -264,12 +264,12 @@
 
   void Perform(PoolClient& client, const PoolActions& actions, Instant now) {
     for (const PoolActions::Dispatch& dispatch : actions.m_dispatches)
-      Spend(dispatch.m_ref, dispatch.m_credit, now);
+      DispatchOn(dispatch.m_ref, dispatch.m_credit, now);
     for (const PoolActions::Refusal& refusal : actions.m_refusals)
       RefuseWaiting(client, refusal.m_ref, refusal.m_code);
   }
 
-  /// One step of messages between gateways and broker.
+  /// Delivers due messages between gateways and broker, and runs their ticks.
   void Exchange(Instant now, bool tick) {
     while (!m_to_gateway.empty() && m_to_gateway.front().m_due <= now) {
       const ToGateway message = std::move(m_to_gateway.front());
@@ -317,24 +317,25 @@
   // ---- Engines -------------------------------------------------------------------------------
 
   void Submit(RequestRef ref, int engine, Instant now) {
-    Live& live = m_live[static_cast<std::size_t>(ref)];
-    if (++live.m_dispatches > 1)
-      Violate("a request was dispatched twice");
-    live.m_engine = engine;
-    live.m_dispatched = now;
+    RequestState& state = m_states[static_cast<std::size_t>(ref)];
+    if (++state.m_dispatches > 1)
+      AddViolation("a request was dispatched twice");
+    state.m_engine = engine;
+    state.m_dispatched = now;
     ++m_in_flight[engine];
     fakes::EngineJob job;
     job.m_id = static_cast<std::uint64_t>(ref);
-    job.m_prompt_tokens = live.m_arrival->m_prompt_tokens;
-    job.m_prefixes = live.m_arrival->m_prefixes;
-    job.m_output_tokens = live.m_arrival->m_output_tokens;
-    job.m_priority = live.m_arrival->m_tier;
+    job.m_prompt_tokens = state.m_arrival->m_prompt_tokens;
+    job.m_prefixes = state.m_arrival->m_prefixes;
+    job.m_output_tokens = state.m_arrival->m_output_tokens;
+    job.m_priority = state.m_arrival->m_tier;
     m_engines[engine].Submit(std::move(job), now);
-    NoteSlowShare(engine, now);
+    RecordSlowShare(engine, now);
   }
 
-  /// When, after the slow-down, did dispatches to the slow engines fall to half their share?
-  void NoteSlowShare(int engine, Instant now) {
+  /// Records when the share of dispatches to the slow engines has fallen to half (0.05) after the
+  /// slow-down.
+  void RecordSlowShare(int engine, Instant now) {
     const bool watching = m_scenario.m_slow_at != Instant{} && now >= m_scenario.m_slow_at &&
                           m_outcome.m_slow_share_halved < Duration(0);
     if (!watching)
@@ -356,76 +357,77 @@
     }
   }
 
-  PoolClient& ClientOf(const Live& live) {
-    return m_clients[static_cast<std::size_t>(live.m_gateway)];
+  PoolClient& ClientOf(const RequestState& state) {
+    return m_clients[static_cast<std::size_t>(state.m_gateway)];
   }
 
   void OnToken(const fakes::EngineEvent& event) {
-    Live& live = m_live[event.m_id];
-    if (live.m_ended)
+    RequestState& state = m_states[event.m_id];
+    if (state.m_ended)
       return;
-    if (!live.m_first) {
-      live.m_first = true;
-      m_outcome.m_first_token.Record(event.m_at - live.m_arrival->m_at);
-      RecordUse(ClientOf(live), live.m_credit, UseStage::kFirstToken,
-                event.m_at - live.m_dispatched);
+    if (!state.m_first) {
+      state.m_first = true;
+      m_outcome.m_first_token.Record(event.m_at - state.m_arrival->m_at);
+      RecordUse(ClientOf(state), state.m_credit, UseStage::kFirstToken,
+                event.m_at - state.m_dispatched);
     } else {
-      m_outcome.m_between_tokens.Record(event.m_at - live.m_last_token);
+      m_outcome.m_between_tokens.Record(event.m_at - state.m_last_token);
     }
-    live.m_last_token = event.m_at;
+    state.m_last_token = event.m_at;
     if (!event.m_last)
       return;
-    GiveBack(live, event.m_at);
-    LearnService(ClientOf(live), "tier" + std::to_string(live.m_arrival->m_tier),
-                 event.m_at - live.m_dispatched);
-    const bool in_time = event.m_at <= live.m_arrival->m_at + live.m_arrival->m_deadline;
-    TierResult& tier = m_outcome.m_tiers[live.m_arrival->m_tier];
+    ReturnCredit(state, event.m_at);
+    LearnService(ClientOf(state), "tier" + std::to_string(state.m_arrival->m_tier),
+                 event.m_at - state.m_dispatched);
+    const bool in_time = event.m_at <= state.m_arrival->m_at + state.m_arrival->m_deadline;
+    TierResult& tier = m_outcome.m_tiers[state.m_arrival->m_tier];
     ++(in_time ? tier.m_good : tier.m_late);
     if (in_time)
-      ++m_outcome.m_good_by_workspace[live.m_arrival->m_workspace];
+      ++m_outcome.m_good_by_workspace[state.m_arrival->m_workspace];
     else
-      m_outcome.m_wasted["late"] += live.m_arrival->m_prompt_tokens;
-    End(live, "");
+      m_outcome.m_wasted["late"] += state.m_arrival->m_prompt_tokens;
+    End(state, "");
   }
 
-  void GiveBack(Live& live, Instant now) {
-    --m_in_flight[live.m_engine];
+  void ReturnCredit(RequestState& state, Instant now) {
+    --m_in_flight[state.m_engine];
     if (m_strategy != Strategy::kPoppyway)
       return;
-    EndDispatch(ClientOf(live), live.m_credit, UseStage::kFinished, now - live.m_dispatched, now);
+    EndDispatch(ClientOf(state), state.m_credit, UseStage::kFinished, now - state.m_dispatched,
+                now);
   }
 
   void Cancel(RequestRef ref, const std::string& cause) {
-    Live& live = m_live[static_cast<std::size_t>(ref)];
-    if (m_engines[live.m_engine].Began(static_cast<std::uint64_t>(ref)))
-      m_outcome.m_wasted[cause] += live.m_arrival->m_prompt_tokens;
-    m_engines[live.m_engine].Cancel(static_cast<std::uint64_t>(ref));
-    --m_in_flight[live.m_engine];
+    RequestState& state = m_states[static_cast<std::size_t>(ref)];
+    if (m_engines[state.m_engine].PrefillStarted(static_cast<std::uint64_t>(ref)))
+      m_outcome.m_wasted[cause] += state.m_arrival->m_prompt_tokens;
+    m_engines[state.m_engine].Cancel(static_cast<std::uint64_t>(ref));
+    --m_in_flight[state.m_engine];
   }
 
-  /// What was sent and has no first token by its deadline gets its final answer.
-  void ExpireSent(Instant now) {
+  /// Fails dispatched requests that have no first token by their deadline.
+  void ExpireDispatched(Instant now) {
     for (; m_oldest < m_next; ++m_oldest) {
-      if (!m_live[m_oldest + 1].m_ended)
+      if (!m_states[m_oldest + 1].m_ended)
         break;
     }
     for (std::size_t i = m_oldest; i < m_next; ++i) {
-      Live& live = m_live[i + 1];
-      const bool silent = !live.m_ended && live.m_engine >= 0 && !live.m_first;
-      if (!silent || now <= live.m_arrival->m_at + live.m_arrival->m_deadline)
+      RequestState& state = m_states[i + 1];
+      const bool silent = !state.m_ended && state.m_engine >= 0 && !state.m_first;
+      if (!silent || now <= state.m_arrival->m_at + state.m_arrival->m_deadline)
         continue;
       Cancel(static_cast<RequestRef>(i + 1), "deadline_passed");
       if (m_strategy == Strategy::kPoppyway)
-        EndDispatch(ClientOf(live), live.m_credit, UseStage::kFinished, now - live.m_dispatched,
+        EndDispatch(ClientOf(state), state.m_credit, UseStage::kFinished, now - state.m_dispatched,
                     now);
-      End(live, "deadline_passed");
+      End(state, "deadline_passed");
     }
   }
 
-  void End(Live& live, const std::string& reason) {
-    if (live.m_ended)
-      Violate("a request ended twice");
-    live.m_ended = true;
+  void End(RequestState& state, const std::string& reason) {
+    if (state.m_ended)
+      AddViolation("a request ended twice");
+    state.m_ended = true;
     --m_open;
     if (!reason.empty())
       ++m_outcome.m_refusals[reason];
@@ -433,8 +435,8 @@
 
   void Finish() {
     for (std::size_t i = 0; i < m_next; ++i) {
-      if (!m_live[i + 1].m_ended)
-        Violate("a request never ended");
+      if (!m_states[i + 1].m_ended)
+        AddViolation("a request never ended");
     }
     for (const fakes::EngineModel& engine : m_engines)
       m_outcome.m_prefilled += engine.prefilled();
@@ -450,22 +452,24 @@
   std::vector<int> m_in_flight;
   std::vector<std::size_t> m_reported;
   std::vector<PoolClient> m_clients;
-  std::vector<Instant> m_last_sent;  ///< When each gateway sent the demand the broker last took.
-  std::map<int, std::uint64_t> m_turns;
+  std::vector<Instant>
+      m_last_sent;  ///< When each gateway sent the last demand that the broker handled.
+  std::map<int, std::uint64_t> m_round_robin;  ///< Position of each gateway's round robin.
   Broker m_broker;
   bool m_broker_up = false;
-  Instant m_broker_back{};
+  Instant m_broker_restart{};
   bool m_gateway_down = false;
-  Instant m_balanced_from{};  ///< When the balancer has noticed.
+  Instant m_balancer_updated{};  ///< When the balancer starts to avoid the dead gateway.
   std::deque<ToBroker> m_to_broker;
   std::deque<ToGateway> m_to_gateway;
-  std::vector<Live> m_live;  ///< By reference, which is the arrival's number from one.
-  std::size_t m_next = 0;
-  std::size_t m_oldest = 0;
-  std::int64_t m_open = 0;
+  std::vector<RequestState> m_states;  ///< Indexed by RequestRef: the arrival's index plus one.
+  std::size_t m_next = 0;              ///< Index of the next arrival.
+  std::size_t m_oldest = 0;            ///< Index of the first arrival that may not have ended.
+  std::int64_t m_open = 0;             ///< Requests that have arrived and not ended.
   Instant m_last_report{};
-  std::array<std::int64_t, kTiers> m_last_admitted{};
-  std::deque<std::pair<Instant, bool>> m_recent;
+  std::array<std::int64_t, kTiers>
+      m_last_admitted{};                          ///< Floor epoch of each tier's last admission.
+  std::deque<std::pair<Instant, bool>> m_recent;  ///< Dispatches in the window; true: slow engine.
   Outcome m_outcome;
 };
 
--- a/fakes/engine_model.cc
+++ b/fakes/engine_model.cc
@@ -10,7 +10,7 @@
 namespace poppyway::fakes {
 namespace {
 
-constexpr Duration kStep{1000};
+constexpr Duration kStep{1000};  // Resolution of the simulation.
 
 }  // namespace
 
@@ -29,7 +29,7 @@
   return text;
 }
 
-std::int64_t EngineModel::Cached(const EngineJob& job) const {
+std::int64_t EngineModel::CachedTokens(const EngineJob& job) const {
   for (std::size_t i = job.m_prefixes.size(); i > 0; --i) {
     if (m_cached.contains(job.m_prefixes[i - 1]))
       return PrefixTokens(i - 1);
@@ -37,7 +37,7 @@
   return 0;
 }
 
-void EngineModel::Remember(const EngineJob& job) {
+void EngineModel::CachePrefixes(const EngineJob& job) {
   for (std::size_t i = 0; i < job.m_prefixes.size(); ++i) {
     const std::uint64_t hash = job.m_prefixes[i];
     const std::int64_t own = PrefixTokens(i) - (i == 0 ? 0 : PrefixTokens(i - 1));
@@ -58,10 +58,10 @@
   }
 }
 
-Duration EngineModel::Step() const {
-  const double crowd = static_cast<double>(m_active.size()) / m_spec.m_slots;
+Duration EngineModel::DecodeStep() const {
+  const double batch_load = static_cast<double>(m_active.size()) / m_spec.m_slots;
   const double step = static_cast<double>(m_spec.m_decode_step.count()) *
-                      (1 + m_spec.m_batch_slowdown * crowd) / m_speed;
+                      (1 + m_spec.m_batch_slowdown * batch_load) / m_speed;
   return Duration(static_cast<std::int64_t>(step));
 }
 
@@ -69,12 +69,12 @@
   m_now = std::max(m_now, now);
   Waiting waiting;
   waiting.m_left =
-      static_cast<double>(std::max<std::int64_t>(1, job.m_prompt_tokens - Cached(job)));
+      static_cast<double>(std::max<std::int64_t>(1, job.m_prompt_tokens - CachedTokens(job)));
   waiting.m_job = std::move(job);
-  const auto place = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const Waiting& other) {
-    return !other.m_began && other.m_job.m_priority > waiting.m_job.m_priority;
+  const auto position = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const Waiting& other) {
+    return !other.m_prefill_started && other.m_job.m_priority > waiting.m_job.m_priority;
   });
-  m_waiting.insert(place, std::move(waiting));
+  m_waiting.insert(position, std::move(waiting));
 }
 
 void EngineModel::Cancel(std::uint64_t id) {
@@ -82,10 +82,10 @@
   std::erase_if(m_active, [id](const Active& active) { return active.m_job.m_id == id; });
 }
 
-bool EngineModel::Began(std::uint64_t id) const {
+bool EngineModel::PrefillStarted(std::uint64_t id) const {
   const auto waiting = std::find_if(m_waiting.begin(), m_waiting.end(),
                                     [id](const Waiting& w) { return w.m_job.m_id == id; });
-  return waiting == m_waiting.end() || waiting->m_began;
+  return waiting == m_waiting.end() || waiting->m_prefill_started;
 }
 
 std::vector<EngineEvent> EngineModel::Advance(Instant now) {
@@ -101,14 +101,14 @@
     while (budget > 0 && !m_waiting.empty() &&
            m_active.size() < static_cast<std::size_t>(m_spec.m_slots)) {
       Waiting& first = m_waiting.front();
-      first.m_began = true;
+      first.m_prefill_started = true;
       const double done = std::min(budget, first.m_left);
       first.m_left -= done;
       budget -= done;
       if (first.m_left > 0)
         break;
       m_prefilled += first.m_job.m_prompt_tokens;
-      Remember(first.m_job);
+      CachePrefixes(first.m_job);
       m_active.push_back({std::move(first.m_job), 0, m_now});
       m_waiting.pop_front();
     }
@@ -118,7 +118,7 @@
       const bool last = active.m_token + 1 >= active.m_job.m_output_tokens;
       events.push_back({active.m_job.m_id, active.m_token, last, m_now});
       ++active.m_token;
-      active.m_next = m_now + Step();
+      active.m_next = m_now + DecodeStep();
     }
     std::erase_if(m_active, [](const Active& active) {
       return active.m_token >= active.m_job.m_output_tokens;
--- a/fakes/fake_server.cc
+++ b/fakes/fake_server.cc
@@ -1,13 +1,15 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Stand-ins for backend servers: model engines and plain services on many ports of one process.
+// Fake backend servers: one process serves model engines and plain services on many ports.
 //
 //   poppyway-fake --engine 9001:g2 --engine 9002:g1 --service 9101 [--odd-chunks] [--die-after N]
 //
-// POST /__fake/speed        changes an engine's speed (body: "port factor")
-// GET  /__fake/report       one line per fact: dispatches, doubled ids and keys, last by port
-// POST /__fake/platform     sets the platform's list of leaving servers; GET reads it
-// GET  /__fake/ids          the request ids that were dispatched here
+// POST /__fake/speed        sets the factor of an engine's speed (body: "port factor")
+// GET  /__fake/report       returns counters, one per line: requests, duplicate ids and keys, and
+// the
+//                           age of the last request of each port
+// POST /__fake/platform     sets the platform's list of leaving servers; GET returns it
+// GET  /__fake/ids          returns the ids of all requests that were received
 
 #include <arpa/inet.h>
 
@@ -29,29 +31,29 @@
 namespace poppyway::fakes {
 namespace {
 
-/// One caller of a fake engine.
+/// One request to a fake engine.
 struct Call {
   h2o_generator_t m_generator{};
   h2o_req_t* m_req = nullptr;
   std::uint64_t m_id = 0;
   std::string m_prompt;
   bool m_stream = false;
-  std::int64_t m_instant_left = 0;  ///< Tokens that an instant engine still owes.
-  std::int64_t m_instant_next = 0;
-  bool m_inflight = false;
-  bool m_ended = false;
-  bool m_final = false;
-  std::string m_sending;
-  std::string m_pending;
+  std::int64_t m_instant_left = 0;  ///< Tokens that an instant engine has yet to send.
+  std::int64_t m_instant_next = 0;  ///< Index of the next token of an instant engine.
+  bool m_inflight = false;          ///< A chunk was passed to the HTTP library and is not sent yet.
+  bool m_ended = false;             ///< The last token was produced.
+  bool m_final = false;             ///< The last chunk was passed to the HTTP library.
+  std::string m_sending;            ///< The chunk in flight.
+  std::string m_pending;            ///< Bytes that follow it.
 };
 
 struct FakePort {
   std::uint16_t m_port = 0;
   std::unique_ptr<EngineModel> m_engine;  ///< Null for a plain service.
-  bool m_instant = false;                 ///< A token as soon as the last one was taken.
+  bool m_instant = false;                 ///< Sends each token as soon as the previous one is sent.
 };
 
-/// What was asked of this process, for proofs.
+/// Counters of the requests to this process, which tests check.
 struct Report {
   std::map<std::uint16_t, Instant> m_last_by_port;
   std::uint64_t m_dispatches = 0;
@@ -72,7 +74,7 @@
   std::mt19937_64 m_random{42};
 };
 
-FakeState g_state;  // One process, one loop, one state.
+FakeState g_state;  // Global because the process runs a single event loop.
 
 std::uint16_t LocalPort(h2o_req_t* req) {
   sockaddr_storage address{};
@@ -103,7 +105,7 @@
   return 0;
 }
 
-void Push(Call& call) {
+void SendPending(Call& call) {
   if (call.m_req == nullptr || call.m_inflight || call.m_final)
     return;
   if (call.m_pending.empty() && !call.m_ended)
@@ -130,7 +132,7 @@
     OnToken({call.m_id, call.m_instant_next++, last, {}});
     return;
   }
-  Push(call);
+  SendPending(call);
 }
 
 void OnDisposed(void* data) {
@@ -163,9 +165,9 @@
   call.m_generator = {&OnProceed, nullptr};
   g_state.m_calls.emplace(call.m_id, std::move(owned));
   g_state.m_port_of[call.m_id] = port.m_port;
-  auto* anchor = static_cast<std::uint64_t*>(
+  auto* disposal_id = static_cast<std::uint64_t*>(
       h2o_mem_alloc_shared(&req->pool, sizeof(std::uint64_t), &OnDisposed));
-  *anchor = call.m_id;
+  *disposal_id = call.m_id;
   if (port.m_instant) {
     req->res.status = 200;
     req->res.reason = "OK";
@@ -206,7 +208,7 @@
     if (event.m_last)
       call.m_pending += "data: [DONE]\n\n";
     call.m_ended = call.m_ended || event.m_last;
-    Push(call);
+    SendPending(call);
     return;
   }
   call.m_pending += text;
@@ -219,11 +221,11 @@
   call.m_pending = answer.dump();
   call.m_ended = true;
   h2o_start_response(call.m_req, &call.m_generator);
-  Push(call);
+  SendPending(call);
 }
 
-/// A delayed answer of a plain service.
-struct Delayed {
+/// A response of a plain service that waits for its delay.
+struct DelayedResponse {
   h2o_timeout_entry_t m_entry;
   h2o_req_t* m_req;
   std::string* m_text;
@@ -231,12 +233,12 @@
 h2o_timeout_t g_service_delay;
 
 void OnDelayOver(h2o_timeout_entry_t* entry) {
-  auto* delayed = reinterpret_cast<Delayed*>(entry);
+  auto* delayed = reinterpret_cast<DelayedResponse*>(entry);
   SendText(delayed->m_req, "application/json", *delayed->m_text);
 }
 
 void OnDelayedDisposed(void* data) {
-  auto* delayed = static_cast<Delayed*>(data);
+  auto* delayed = static_cast<DelayedResponse*>(data);
   if (h2o_timeout_is_linked(&delayed->m_entry))
     h2o_timeout_unlink(&delayed->m_entry);
   delete delayed->m_text;
@@ -247,8 +249,8 @@
   const std::string path(req->path.base, req->path.len);
   const std::string body(req->entity.base, req->entity.len);
   const nlohmann::json answer = {{"echo", Hash(body, Hash(method + " " + path))}};
-  auto* delayed =
-      static_cast<Delayed*>(h2o_mem_alloc_shared(&req->pool, sizeof(Delayed), &OnDelayedDisposed));
+  auto* delayed = static_cast<DelayedResponse*>(
+      h2o_mem_alloc_shared(&req->pool, sizeof(DelayedResponse), &OnDelayedDisposed));
   delayed->m_entry = {};
   delayed->m_entry.cb = &OnDelayOver;
   delayed->m_req = req;
--- a/fakes/scripted_server.cc
+++ b/fakes/scripted_server.cc
@@ -13,7 +13,7 @@
 namespace poppyway::test {
 namespace {
 
-constexpr int kAwaitMillis = 2'000;
+constexpr int kAwaitMillis = 2'000;  // Timeout of kAwaitClose.
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 
 std::size_t BodyLength(const std::string& head) {
@@ -22,7 +22,7 @@
   return at == std::string::npos ? 0 : std::stoul(head.substr(at + kName.size()));
 }
 
-/// Reads one request; empty once the connection is over.
+/// Reads one request. Returns an empty string if the connection was closed or failed.
 std::string ReadRequest(int fd) {
   std::string request;
   while (true) {
@@ -44,14 +44,14 @@
 
 ScriptedServer::ScriptedServer(Script script) : m_script(std::move(script)) {
   m_listener = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  sockaddr_in where{};
-  where.sin_family = AF_INET;
-  where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  socklen_t size = sizeof(where);
-  bind(m_listener, reinterpret_cast<sockaddr*>(&where), size);
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  socklen_t size = sizeof(address);
+  bind(m_listener, reinterpret_cast<sockaddr*>(&address), size);
   listen(m_listener, 64);
-  getsockname(m_listener, reinterpret_cast<sockaddr*>(&where), &size);
-  m_port = ntohs(where.sin_port);
+  getsockname(m_listener, reinterpret_cast<sockaddr*>(&address), &size);
+  m_port = ntohs(address.sin_port);
   m_acceptor = std::thread([this] { Accept(); });
 }
 
--- a/fakes/scripted_server.h
+++ b/fakes/scripted_server.h
@@ -12,18 +12,18 @@
 
 namespace poppyway::test {
 
-/// \brief One step of a scripted answer.
+/// \brief One step of a scripted response.
 struct ScriptStep {
   enum class Kind : std::uint8_t {
     kSend,
     kWait,
-    kClose,       ///< In order: the peer sees the end of the connection.
-    kReset,       ///< The peer sees a reset.
-    kAwaitClose,  ///< Until the peer closes, at most two seconds.
+    kClose,       ///< Closes the connection in order (FIN).
+    kReset,       ///< Closes the connection with a reset (RST).
+    kAwaitClose,  ///< Waits until the peer closes, at most two seconds, then closes.
   };
   Kind m_kind = Kind::kSend;
-  std::string m_bytes;
-  int m_millis = 0;
+  std::string m_bytes;  ///< What kSend sends.
+  int m_millis = 0;     ///< How long kWait waits.
 };
 
 [[nodiscard]] inline ScriptStep Send(std::string bytes) {
@@ -42,11 +42,12 @@
   return {ScriptStep::Kind::kAwaitClose, "", 0};
 }
 
-/// \brief A back end on loopback that answers each request by a script. One thread for each
-/// connection; thread-safe.
+/// \brief A backend server on loopback that responds to each request as a script says. It uses one
+/// thread per connection. Thread-safe.
 class ScriptedServer {
  public:
-  /// \param script maps a request's head (with its body) to what the server does.
+  /// Maps a request (head and body) to the steps of the response. Called on the connection's
+  /// thread.
   using Script = std::function<std::vector<ScriptStep>(const std::string& request)>;
 
   explicit ScriptedServer(Script script);
@@ -55,15 +56,17 @@
   ScriptedServer& operator=(const ScriptedServer&) = delete;
 
   [[nodiscard]] std::uint16_t port() const noexcept { return m_port; }
+  /// \brief Returns all requests received so far, head and body.
   [[nodiscard]] std::vector<std::string> requests() const;
+  /// \brief Number of accepted connections.
   [[nodiscard]] int connections() const noexcept { return m_accepted.load(); }
-  /// How many scripts saw their peer close while they waited for it.
+  /// \brief Number of kAwaitClose steps during which the peer closed the connection.
   [[nodiscard]] int peer_closes() const noexcept { return m_peer_closes.load(); }
 
  private:
   void Accept();
   void Serve(int fd);
-  /// Returns false if the connection is over.
+  /// Performs one step. Returns false if the connection must be closed.
   bool Perform(int fd, const ScriptStep& step);
 
   Script m_script;
