--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -14,17 +14,18 @@
 
 namespace poppyway::bench {
 
-/// \brief How requests find their engine.
+/// \brief Rule by which a request is assigned to an engine.
 enum class Strategy : std::uint8_t {
   kPoppyway,
   kRoundRobin,
-  kLeastReported,  ///< Least load by the engines' (old) reports.
-  kTwoChoices,     ///< The less loaded of two random engines, by the same reports.
-  kPrefixHash,     ///< Rendezvous hash of the prompt's prefix.
+  kLeastReported,  ///< The least loaded engine by the last, delayed load reports.
+  kTwoChoices,     ///< The less loaded of two random engines by those reports.
+  kPrefixHash,     ///< Rendezvous hashing of the prompt's prefix.
 };
+/// \brief Returns the name that the reports print.
 [[nodiscard]] std::string NameOf(Strategy strategy);
 
-/// \brief One caller's request.
+/// \brief One request of a scenario.
 struct Arrival {
   Instant m_at{};
   int m_gateway = 0;
@@ -33,53 +34,59 @@
   std::int64_t m_prompt_tokens = 1;
   std::vector<std::uint64_t> m_prefixes;
   std::int64_t m_output_tokens = 1;
-  Duration m_deadline{};
+  Duration m_deadline{};  ///< Relative to m_at.
 };
 
-/// \brief A fleet, its load, and what goes wrong.
+/// \brief A fleet, its load and the faults that are injected.
 struct Scenario {
   std::string m_name;
   int m_gateways = 7;
-  std::vector<std::string> m_generations;  ///< Of each engine.
+  std::vector<std::string> m_generations;  ///< Hardware generation of each engine.
   int m_slots = 8;
-  std::int64_t m_prefill_budget = 16384;
-  std::vector<Arrival> m_arrivals;  ///< In order of time.
-  Duration m_length{};
-  Duration m_report_age{100'000};
-  Duration m_message_delay{300};
-  Instant m_slow_at{};       ///< When one engine in ten falls to a third of its speed.
-  Instant m_broker_lost{};   ///< When the broker's process dies.
-  Instant m_gateway_lost{};  ///< When gateway 0 dies.
-  BrokerSettings m_broker;   ///< Rules of the broker.
+  std::int64_t m_prefill_budget = 16384;  ///< Prompt tokens in flight per engine.
+  std::vector<Arrival> m_arrivals;        ///< Sorted by time.
+  Duration m_length{};                    ///< Time in which the requests arrive.
+  Duration m_report_age{100'000};         ///< Interval of the engines' load reports.
+  Duration m_message_delay{300};          ///< One way, between gateway and broker.
+  Instant m_slow_at{};       ///< When one engine in ten slows down to a third of its speed.
+  Instant m_broker_lost{};   ///< When the broker's process is killed; zero for never.
+  Instant m_gateway_lost{};  ///< When gateway 0 is killed; zero for never.
+  BrokerSettings m_broker;   ///< Settings of the broker.
 };
 
-/// \brief What came of one tier.
+/// \brief Results of one tier.
 struct TierResult {
   std::int64_t m_offered = 0;
-  std::int64_t m_good = 0;  ///< Whole and in time.
-  std::int64_t m_late = 0;
+  std::int64_t m_good = 0;  ///< Completed before the deadline.
+  std::int64_t m_late = 0;  ///< Completed after the deadline.
 };
 
-/// \brief What came of a run.
+/// \brief Results of a run.
 struct Outcome {
   std::array<TierResult, kTiers> m_tiers;
-  std::map<std::string, std::int64_t> m_refusals;  ///< By reason.
-  std::map<std::string, std::int64_t> m_wasted;    ///< Prompt tokens by cause.
+  std::map<std::string, std::int64_t> m_refusals;  ///< Requests that were not completed, by reason.
+  std::map<std::string, std::int64_t>
+      m_wasted;  ///< Prompt tokens that were prefilled in vain, by cause.
   std::map<std::string, std::int64_t> m_good_by_workspace;
   std::int64_t m_prefilled = 0;
-  std::int64_t m_over_budget = 0;      ///< Dispatches on a broker's credit over an engine's slots.
-  std::int64_t m_over_fair_share = 0;  ///< The same without a broker, by fair share.
+  std::int64_t m_over_budget = 0;  ///< Dispatches on a broker's credit beyond an engine's slots.
+  std::int64_t m_over_fair_share = 0;  ///< The same for fair-share dispatches without a broker.
   DurationHistogram m_first_token;
   DurationHistogram m_between_tokens;
-  std::vector<std::string> m_violations;  ///< Of the invariants; at most a few are kept.
-  Duration m_slow_share_halved{-1};  ///< After the slow-down, until slow engines' share has fallen.
+  std::vector<std::string> m_violations;  ///< Broken invariants; only the first 5 are kept.
+  /// Time from the slow-down until the slow engines' share of dispatches halved; -1 us for never.
+  Duration m_slow_share_halved{-1};
 };
 
+/// \brief Requests of all tiers that were completed before their deadline.
 [[nodiscard]] std::int64_t GoodOf(const Outcome& outcome);
+/// \brief Requests of all tiers.
 [[nodiscard]] std::int64_t OfferedOf(const Outcome& outcome);
+/// \brief Prompt tokens that were prefilled in vain, over all causes.
 [[nodiscard]] std::int64_t WastedOf(const Outcome& outcome);
 
-/// \brief Runs a scenario; the same arguments give the same outcome.
+/// \brief Simulates a scenario. The outcome is deterministic for the same arguments. Concurrent
+/// calls are safe.
 [[nodiscard]] Outcome RunFleet(const Scenario& scenario, Strategy strategy, std::uint64_t seed);
 
 }  // namespace poppyway::bench
--- a/bench/hop.cc
+++ b/bench/hop.cc
@@ -1,10 +1,12 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Closed-loop streams against one endpoint: latency to the first token, and tokens a second.
+// Runs closed-loop streams against one endpoint and measures the time to the first token and the
+// tokens per second.
 //
 //   poppyway-hop ADDRESS:PORT STREAMS SECONDS OUTPUT_TOKENS
 //
-// Prints one line of key=value pairs. Run once against the stand-in and once against a gateway.
+// Prints one line of key=value pairs. scripts/hop.sh runs it against the fake server and against a
+// gateway to compare them.
 
 #include <algorithm>
 #include <csignal>
@@ -20,7 +22,7 @@
 
 struct Stream {
   std::unique_ptr<Upstream> m_call;
-  Instant m_begun{};
+  Instant m_started{};
   bool m_first = false;
 };
 
@@ -60,35 +62,36 @@
   UpstreamPools pools(loop);
   Totals totals;
   std::vector<Stream> all(streams);
-  std::vector<std::unique_ptr<Upstream>> over;
+  std::vector<std::unique_ptr<Upstream>> finished;
   const std::string body =
       R"({"prompt":"hello there","stream":true,"max_tokens":)" + std::string(argv[4]) + "}";
   const std::string request =
       "POST /v1/completions HTTP/1.1\r\nhost: t\r\ncontent-length: " + std::to_string(body.size()) +
       "\r\n\r\n" + body;
-  // Started by messages: what is written outside the loop waits for its next turn.
+  // Requests are started from within the event loop: bytes that are written outside it would wait
+  // for its next iteration.
   std::unique_ptr<Mailbox<Stream*>> starts;
   const auto start = [&](Stream& stream) {
     stream.m_first = false;
-    stream.m_begun = ReadClock();
+    stream.m_started = ReadClock();
     UpstreamEvents events;
     events.m_may_send = [] { return true; };
     events.m_on_head = [](const UpstreamHead&) {};
     events.m_on_data = [&stream, &totals](std::string_view bytes) {
       if (!stream.m_first) {
         stream.m_first = true;
-        totals.m_first_us.push_back(static_cast<double>((ReadClock() - stream.m_begun).count()));
+        totals.m_first_us.push_back(static_cast<double>((ReadClock() - stream.m_started).count()));
       }
       totals.m_tokens += CountTokens(bytes);
     };
     events.m_on_complete = [&] {
       ++totals.m_answers;
-      over.push_back(std::move(stream.m_call));
+      finished.push_back(std::move(stream.m_call));
       starts->Send(&stream);
     };
     events.m_on_failure = [&](bool, const std::string&) {
       ++totals.m_failures;
-      over.push_back(std::move(stream.m_call));
+      finished.push_back(std::move(stream.m_call));
       starts->Send(&stream);
     };
     stream.m_call = std::make_unique<Upstream>(pools, *target, request, false, std::move(events));
@@ -100,7 +103,7 @@
     starts->Send(&stream);
   while (ReadClock() < end) {
     h2o_evloop_run(loop.loop(), 10);
-    over.clear();
+    finished.clear();
   }
   const double took = Seconds(ReadClock() - begun);
   std::cout << "streams=" << streams << " answers=" << totals.m_answers
--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// The decisions under load, against baselines in the same run. Exit code 1 if a bound or an
-// invariant is broken.
+// Simulates the scheduling policy under load and compares it with baselines in the same run. The
+// exit code is 1 if a bound or an invariant is broken.
 //
 //   poppyway-bench [--quick] [--bounds-only] [--markdown FILE] [--csv FILE]
 
@@ -119,7 +119,7 @@
   return text.str();
 }
 
-/// A bound of the bench; the verdict is the same every time, since seeds are fixed.
+/// A regression bound. The verdict is deterministic because the seeds are fixed.
 struct Bound {
   std::string m_what;
   double m_value = 0;
@@ -182,14 +182,14 @@
   std::string markdown;
   std::string csv;
   for (int i = 1; i < argc; ++i) {
-    const std::string word = argv[i];
-    if (word == "--quick")
+    const std::string option = argv[i];
+    if (option == "--quick")
       quick = true;
-    else if (word == "--bounds-only")
+    else if (option == "--bounds-only")
       verbose = false;
-    else if (word == "--markdown" && i + 1 < argc)
+    else if (option == "--markdown" && i + 1 < argc)
       markdown = argv[++i];
-    else if (word == "--csv" && i + 1 < argc)
+    else if (option == "--csv" && i + 1 < argc)
       csv = argv[++i];
     else
       return std::cerr << "usage: poppyway-bench [--quick] [--bounds-only] [--markdown FILE] "
@@ -202,7 +202,7 @@
     if (quick && planned)
       continue;
     for (Job& job : MakeJobs(deployment, quick || planned ? 30 : 40)) {
-      // Of the planned shard, which is large, only the load itself is varied.
+      // The planned shard is large, so it runs only the scenarios without injected faults.
       const bool plain = job.m_scenario.m_slow_at == Instant{} &&
                          job.m_scenario.m_broker_lost == Instant{} &&
                          job.m_scenario.m_gateway_lost == Instant{};
--- a/bench/scenarios.cc
+++ b/bench/scenarios.cc
@@ -31,7 +31,7 @@
   arrival.m_gateway = static_cast<int>(random() % static_cast<unsigned>(deployment.m_gateways));
   std::discrete_distribution<int> tier(kTierShare.begin(), kTierShare.end());
   arrival.m_tier = tier(random);
-  // Two of five workspaces are large.
+  // Two of the five workspaces are large.
   std::discrete_distribution<int> workspace({8, 8, 2, 1, 1});
   const int w = workspace(random) % kWorkspaces;
   arrival.m_workspace = "w" + std::to_string(w);
@@ -49,9 +49,9 @@
   return arrival;
 }
 
-/// Seconds of one engine slot that a request needs at full batch, averaged over the fleet.
+/// Seconds for which a request occupies one engine slot at full batch, averaged over the fleet.
 double SlotSeconds(const Deployment& deployment, const Arrival& arrival) {
-  double rate = 0;  // Requests a second of one slot, if all were like this one.
+  double rate = 0;  // Requests per second of one slot of each engine, if all were like this one.
   for (int e = 0; e < deployment.m_engines; ++e) {
     const fakes::EngineSpec spec = fakes::EngineSpecOf(GenerationOf(e));
     const double decode = Seconds(spec.m_decode_step) * (1 + spec.m_batch_slowdown);
@@ -118,7 +118,7 @@
   std::int64_t good = 0;
   double left = deployment.m_engines * kSlots * Seconds(scenario.m_length);
   for (Tier tier = 0; tier < kTiers; ++tier) {
-    // What arrives last may still run past the end, until its deadline.
+    // Requests that arrive last may run beyond the end of the load, until their deadline.
     left += deployment.m_engines * kSlots * static_cast<double>(kDeadlineMs[tier]) / 1000.0 *
             kTierShare[tier];
     std::sort(costs[tier].begin(), costs[tier].end());
--- a/bench/scenarios.h
+++ b/bench/scenarios.h
@@ -9,26 +9,30 @@
 
 namespace poppyway::bench {
 
-/// \brief Shape of a deployment's load.
+/// \brief Size of a deployment and shape of its load.
 struct Deployment {
   std::string m_name;
   int m_gateways = 7;
   int m_engines = 55;
   std::int64_t m_prompt_max = 1200;    ///< Longest prompt of the two upper tiers.
   std::int64_t m_long_prompt = 8000;   ///< Longest prompt of the lowest tier.
-  std::int64_t m_shared_prefix = 512;  ///< Prompt tokens shared between requests of a workspace.
+  std::int64_t m_shared_prefix = 512;  ///< Prompt tokens that requests of a workspace share.
 };
 
+/// \brief The two example deployments: see examples/stichting and examples/maly-uver.
 [[nodiscard]] Deployment Stichting();
 [[nodiscard]] Deployment MalyUver();
-/// \brief The planned fleet's ratios at one broker shard: 128 engines, 16 gateways.
+/// \brief One broker shard with the ratios of the planned fleet: 128 engines, 16 gateways.
 [[nodiscard]] Deployment PlannedShard();
 
-/// \brief Requests a second that the deployment's engines can serve, by the offline bound.
+/// \brief Requests per second that the deployment's engines can serve, by the same offline bound as
+/// `BestGoodput`.
 [[nodiscard]] double Capacity(const Deployment& deployment);
 
-/// \brief An open load of `factor` times the capacity: a fifth tier 0, half tier 1, the rest
-/// tier 2. \param opening part of the load that arrives in the first two seconds.
+/// \brief Generates an open-loop load of `factor` times the capacity: a fifth of the requests is of
+/// tier 0, half of tier 1, the rest of tier 2.
+/// \param seconds length of the load.
+/// \param opening share of the load that arrives in the first two seconds.
 [[nodiscard]] Scenario MakeScenario(const Deployment& deployment,
                                     const std::string& name,
                                     double factor,
@@ -36,7 +40,7 @@
                                     double opening,
                                     std::uint64_t seed);
 
-/// \brief Best goodput that any scheduler could reach, tiers in order: an upper bound.
+/// \brief Upper bound of the goodput of any scheduler that serves the tiers in order.
 [[nodiscard]] std::int64_t BestGoodput(const Deployment& deployment, const Scenario& scenario);
 
 }  // namespace poppyway::bench
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Measures the slopes that docs/CAPACITY.md is worked out from. One CSV row a measurement:
-// name,x,y with y in the unit that the name ends with. scripts/capacity.py fits and applies them.
+// Measures how costs grow with size. Prints one CSV row per measurement: name,x,y with y in the
+// unit at the end of the name. scripts/capacity.py fits slopes to the rows and computes
+// docs/CAPACITY.md from them.
 
 #include <sys/resource.h>
 
@@ -36,14 +37,14 @@
   std::cout << name << "," << x << "," << y << "\n";
 }
 
-/// Processor time of one call of `work`, in µs, from as many calls as take a while.
+/// Mean processor time of one call of `work`, in µs, over at least 150 ms of calls.
 template <typename Work>
 double MicrosPerCall(Work&& work) {
-  constexpr double kEnough = 150'000;
+  constexpr double kMinMicros = 150'000;
   int calls = 0;
   const double begun = CpuMicros();
   double used = 0;
-  while ((used = CpuMicros() - begun) < kEnough) {
+  while ((used = CpuMicros() - begun) < kMinMicros) {
     work();
     ++calls;
   }
@@ -108,7 +109,7 @@
   Row("config_delta_bytes", 1, static_cast<double>(EncodeFrame(delta).size()));
 }
 
-wire::Heartbeat Beat(int number) {
+wire::Heartbeat MakeHeartbeat(int number) {
   wire::Heartbeat beat;
   beat.instance = "entry-" + std::to_string(number);
   beat.incarnation = beat.instance + "-0123456789ab";
@@ -121,9 +122,9 @@
 }
 
 void MeasureHeartbeats() {
-  wire::Envelope out;
-  out.body.__set_heartbeat(Beat(940));
-  const std::string frame = EncodeFrame(out);
+  wire::Envelope envelope;
+  envelope.body.__set_heartbeat(MakeHeartbeat(940));
+  const std::string frame = EncodeFrame(envelope);
   Row("heartbeat_bytes", 1, static_cast<double>(frame.size()));
   for (const int leases : {2, 20, 60, 164}) {
     wire::Envelope reply;
@@ -143,18 +144,18 @@
   for (const int instances : {100, 400, 940}) {
     InstanceTable table = MakeInstanceTable(Duration(3'000'000), Duration(600'000), Instant{});
     for (int i = 0; i < instances; ++i)
-      RecordHeartbeat(table, Beat(i), Instant{});
+      RecordHeartbeat(table, MakeHeartbeat(i), Instant{});
     int next = 0;
     Row("heartbeat_take_per_instance_us", instances, MicrosPerCall([&] {
           const auto payload = Deserialize<wire::Envelope>(std::string_view(frame).substr(4));
-          RecordHeartbeat(table, Beat(next++ % instances), Instant{});
+          RecordHeartbeat(table, MakeHeartbeat(next++ % instances), Instant{});
           if (!payload)
             std::abort();
         }));
   }
 }
 
-/// Messages between a gateway and a broker.
+/// Measures the messages between a gateway and a broker.
 void MeasureCredits() {
   wire::Envelope demand;
   demand.body.__set_demand({});
@@ -279,7 +280,7 @@
   }
 }
 
-/// Time to make entries durable, by how many share a sync; and to replay a log.
+/// Measures the time to make entries durable, by the number that share a sync, and to replay a log.
 void MeasureLog(const std::string& folder) {
   for (const int batch : {1, 8, 32, 128, 256}) {
     std::filesystem::remove_all(folder);
@@ -310,17 +311,17 @@
       effects.m_append.push_back(ClaimEntry(i));
     (void)(*store)->Save(node, effects);
     const Instant begun = ReadClock();
-    StoredLog again;
-    auto reopened = LogStore::Open(folder, "bench", 7, again);
+    StoredLog reloaded;
+    auto reopened = LogStore::Open(folder, "bench", 7, reloaded);
     StateMachine machine;
-    for (const wire::LogEntry& entry : again.m_entries)
+    for (const wire::LogEntry& entry : reloaded.m_entries)
       (void)ApplyEntry(machine, entry);
     Row("restart_per_entry_us", entries, static_cast<double>((ReadClock() - begun).count()));
   }
   std::filesystem::remove_all(folder);
 }
 
-/// One broker with a steady flow: each demand brings one request and ends one.
+/// Measures one broker under a steady load: each demand adds one request and finishes one.
 void MeasureBroker() {
   for (const int engines : {16, 55, 128}) {
     BrokerSettings settings;
@@ -335,10 +336,10 @@
     }
     UpdateEngines(broker, budgets, {},
                   [ids](const std::string&, const std::string&) { return ids; });
-    std::vector<CreditId> out;
+    std::vector<CreditId> outstanding;
     RequestRef ref = 0;
     Instant now(Duration(1'000'000));
-    const auto turn = [&] {
+    const auto send_demand = [&] {
       now += Duration(1000);
       GatewayDemand demand;
       demand.m_gateway = "entry-" + std::to_string(ref % 16);
@@ -353,19 +354,19 @@
       request.m_deadline = now + Duration(10'000'000);
       demand.m_items.push_back(request);
       ++demand.m_waiting[request.m_tier];
-      if (out.size() > static_cast<std::size_t>(engines) * 4) {
-        demand.m_uses.push_back({out.front(), UseStage::kFirstToken, Duration(50'000)});
-        demand.m_uses.push_back({out.front(), UseStage::kFinished, Duration(900'000)});
-        out.erase(out.begin());
+      if (outstanding.size() > static_cast<std::size_t>(engines) * 4) {
+        demand.m_uses.push_back({outstanding.front(), UseStage::kFirstToken, Duration(50'000)});
+        demand.m_uses.push_back({outstanding.front(), UseStage::kFinished, Duration(900'000)});
+        outstanding.erase(outstanding.begin());
       }
       for (const GrantBatch& batch : HandleDemand(broker, demand, now)) {
         for (const Credit& credit : batch.m_credits)
-          out.push_back(credit.m_id);
+          outstanding.push_back(credit.m_id);
       }
     };
     for (int i = 0; i < 2000; ++i)
-      turn();
-    Row("broker_demand_per_engine_us", engines, MicrosPerCall(turn));
+      send_demand();
+    Row("broker_demand_per_engine_us", engines, MicrosPerCall(send_demand));
     Row("broker_tick_per_engine_us", engines, MicrosPerCall([&] {
           now += Duration(5000);
           for (auto& [name, gateway] : broker.m_gateways)
