--- a/tests/process/answers_test.cc
+++ b/tests/process/answers_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// What becomes of back ends' broken answers and callers' bad input, with real processes.
+// Tests with real processes: broken responses of backend servers and invalid requests of clients.
 
 #include <arpa/inet.h>
 #include <sys/socket.h>
@@ -19,7 +19,8 @@
 
 namespace {
 
-/// A back end that sends fixed bytes to every request and closes; `%ID%` becomes the request's id.
+/// A backend server that sends the same bytes to every request and closes the connection. `%ID%` is
+/// replaced by the request's id.
 class RawBackend {
  public:
   RawBackend(std::uint16_t port, std::string answer, int linger_ms)
@@ -30,7 +31,7 @@
     m_thread = std::thread([this] { Serve(); });
   }
   ~RawBackend() {
-    m_over = true;
+    m_stopping = true;
     m_thread.join();
     close(m_listener);
   }
@@ -38,7 +39,7 @@
 
  private:
   void Serve() {
-    while (!m_over) {
+    while (!m_stopping) {
       const int fd = accept4(m_listener, nullptr, nullptr, 0);
       if (fd < 0) {
         SleepMs(2);
@@ -56,7 +57,8 @@
         answer.replace(at, 4, value);
       }
       (void)send(fd, answer.data(), answer.size(), MSG_NOSIGNAL);
-      SleepMs(m_linger_ms);  // An answer that is whole by its framing is not ended by a close.
+      SleepMs(m_linger_ms);  // The close must not be what ends a response that is complete by its
+                             // framing.
       shutdown(fd, SHUT_WR);
       SleepMs(5);
       close(fd);
@@ -66,12 +68,12 @@
   std::string m_answer;
   int m_linger_ms;
   int m_listener = -1;
-  std::atomic<bool> m_over{false};
+  std::atomic<bool> m_stopping{false};
   std::atomic<int> m_served{0};
   std::thread m_thread;
 };
 
-/// Three instances with one engine at FakePort(1), which the test itself serves.
+/// Starts three instances with one engine at FakePort(1), which the test itself serves.
 void StartWithOneEngine(ProcessCluster& cluster) {
   for (const int instance : cluster.all())
     cluster.Start(instance);
@@ -104,7 +106,7 @@
   const auto ask = [&](const std::string& answer, int linger_ms = 0) {
     const RawBackend backend(port, answer, linger_ms);
     const HttpResponse got = Chat(cluster, kStream);
-    CHECK(backend.served() == 1);  // Never sent a second time.
+    CHECK(backend.served() == 1);  // The request is not retried.
     return got;
   };
   SECTION("a chunked body without its last chunk") {
@@ -173,7 +175,7 @@
   CHECK(code("/desk/book",
              {"poppyway-event: book", "idempotency-key: old", "poppyway-request-time: 1000"},
              "x") == "1006");
-  // A flood of headers and a truncated body close the connection and nothing else.
+  // A request with too many headers may lose its connection; later requests are unaffected.
   std::vector<std::string> flood;
   for (int i = 0; i < 2000; ++i)
     flood.push_back("x-" + std::to_string(i) + ": y");
--- a/tests/process/process_cluster.cc
+++ b/tests/process/process_cluster.cc
@@ -23,34 +23,35 @@
 namespace poppyway::test {
 namespace {
 
-constexpr std::uint16_t kFirstPort = 20'000;  // Below those that the kernel gives to connections.
+constexpr std::uint16_t kFirstPort = 20'000;  // Below the kernel's range of ephemeral ports.
 constexpr std::uint16_t kLastPort = 32'000;
-constexpr std::uint16_t kPorts = 300;  // Of one test process.
+constexpr std::uint16_t kPorts = 300;  // Ports that one test process reserves.
 constexpr std::uint16_t kPeerOffset = 100;
 constexpr std::uint16_t kFakeOffset = 200;
-constexpr std::uint16_t kGuardOffset = kPorts - 1;
+constexpr std::uint16_t kGuardOffset = kPorts - 1;  // The port that marks a range as used.
 const std::string kBuild = POPPYWAY_BUILD;
 
-/// Listens on `port` until this process ends. \return false if it is taken.
-bool HoldPort(std::uint16_t port) {
+/// Listens on `port` until this process ends. Returns false if the port is in use.
+bool ReservePort(std::uint16_t port) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  sockaddr_in where{};
-  where.sin_family = AF_INET;
-  where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  where.sin_port = htons(port);
-  const bool held =
-      bind(fd, reinterpret_cast<sockaddr*>(&where), sizeof(where)) == 0 && listen(fd, 1) == 0;
-  if (!held)
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  address.sin_port = htons(port);
+  const bool reserved =
+      bind(fd, reinterpret_cast<sockaddr*>(&address), sizeof(address)) == 0 && listen(fd, 1) == 0;
+  if (!reserved)
     close(fd);
-  return held;
+  return reserved;
 }
 
-/// The first of this process's ports. Another run of these tests on the machine has others: with
-/// the same ones an instance that is killed here finds its port taken there when it starts again.
+/// First port of the range that this test process uses. Concurrent runs on one machine use
+/// different ranges; otherwise an instance that is killed in one run could find its port in use by
+/// another run when it restarts.
 std::uint16_t BasePort() {
   static const std::uint16_t base = [] {
     for (std::uint16_t first = kFirstPort; first + kPorts <= kLastPort; first += kPorts) {
-      if (HoldPort(first + kGuardOffset))
+      if (ReservePort(first + kGuardOffset))
         return first;
     }
     throw std::runtime_error("no range of ports is free for the process tests");
@@ -58,21 +59,21 @@
   return base;
 }
 
-/// Pointers for the system's calls; valid while `words` are.
-std::vector<char*> PointersTo(std::vector<std::string>& words) {
+/// Null-terminated array of pointers for system calls; valid as long as `strings` is unchanged.
+std::vector<char*> PointersTo(std::vector<std::string>& strings) {
   std::vector<char*> pointers;
-  for (std::string& word : words)
-    pointers.push_back(word.data());
+  for (std::string& string : strings)
+    pointers.push_back(string.data());
   pointers.push_back(nullptr);
   return pointers;
 }
 
-pid_t Spawn(std::vector<std::string> words,
+pid_t Spawn(std::vector<std::string> command,
             int output = -1,
             std::vector<std::string> environment = {}) {
   for (char** entry = environ; *entry != nullptr; ++entry)
     environment.emplace_back(*entry);
-  const std::vector<char*> argv = PointersTo(words);
+  const std::vector<char*> argv = PointersTo(command);
   const std::vector<char*> variables = PointersTo(environment);
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
@@ -96,10 +97,10 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
 }
 
-ProcessResult RunCommand(const std::vector<std::string>& words) {
+ProcessResult RunCommand(const std::vector<std::string>& command) {
   std::array<int, 2> pipe_ends;
   REQUIRE(pipe2(pipe_ends.data(), O_CLOEXEC) == 0);
-  const pid_t pid = Spawn(words, pipe_ends[1]);
+  const pid_t pid = Spawn(command, pipe_ends[1]);
   close(pipe_ends[1]);
   ProcessResult result;
   std::array<char, 4096> chunk;
@@ -119,11 +120,11 @@
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   timeval limit{timeout_ms / 1000, (timeout_ms % 1000) * 1000};
   setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
-  sockaddr_in where{};
-  where.sin_family = AF_INET;
-  where.sin_port = htons(port);
-  inet_pton(AF_INET, "127.0.0.1", &where.sin_addr);
-  if (connect(fd, reinterpret_cast<sockaddr*>(&where), sizeof(where)) == 0)
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(port);
+  inet_pton(AF_INET, "127.0.0.1", &address.sin_addr);
+  if (connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof(address)) == 0)
     return fd;
   close(fd);
   return -1;
@@ -148,7 +149,7 @@
   }
 }
 
-/// Decodes a chunked body; true if its last chunk was there.
+/// Decodes a chunked body. Returns true if the body includes the last chunk.
 bool Dechunk(const std::string& raw, std::string& body) {
   std::size_t at = 0;
   while (true) {
@@ -254,9 +255,9 @@
 }
 
 void ProcessCluster::StartFake(const std::vector<std::string>& arguments) {
-  std::vector<std::string> words = {kBuild + "/fakes/poppyway-fake"};
-  words.insert(words.end(), arguments.begin(), arguments.end());
-  m_fake = Spawn(words);
+  std::vector<std::string> command = {kBuild + "/fakes/poppyway-fake"};
+  command.insert(command.end(), arguments.begin(), arguments.end());
+  m_fake = Spawn(command);
   for (int i = 0; i < 100; ++i) {
     if (Fake("/__fake/report").m_status == 200)
       return;
@@ -314,7 +315,7 @@
 }
 
 void ProcessCluster::PrintUnready() const {
-  constexpr std::size_t kTail = 4'000;  // Bytes of each log: some seconds of a quiet instance.
+  constexpr std::size_t kTail = 4'000;  // Bytes of each log: some seconds of an idle instance.
   for (const auto& [instance, pid] : m_pids) {
     const int status = Http(HttpPort(instance), "GET", "/health/ready", {}, "", 500).m_status;
     if (status == 200)
@@ -367,28 +368,28 @@
 }
 
 ProcessResult ProcessCluster::RunCli(const std::vector<std::string>& arguments) {
-  std::vector<std::string> words = {kBuild + "/poppyway"};
+  std::vector<std::string> command = {kBuild + "/poppyway"};
   for (const auto& [instance, pid] : m_pids) {
-    words.push_back("--instance");
-    words.push_back("127.0.0.1:" + std::to_string(PeerPort(instance)));
+    command.push_back("--instance");
+    command.push_back("127.0.0.1:" + std::to_string(PeerPort(instance)));
   }
-  words.insert(words.end(), arguments.begin(), arguments.end());
-  return RunCommand(words);
+  command.insert(command.end(), arguments.begin(), arguments.end());
+  return RunCommand(command);
 }
 
 ProcessResult ProcessCluster::Load(const std::string& plan, int balancer_lag_ms) {
-  std::vector<std::string> words = {kBuild + "/poppyway",
-                                    "--output",
-                                    "json",
-                                    "load",
-                                    Write("plan.yaml", plan),
-                                    "--balancer-lag-ms",
-                                    std::to_string(balancer_lag_ms)};
+  std::vector<std::string> command = {kBuild + "/poppyway",
+                                      "--output",
+                                      "json",
+                                      "load",
+                                      Write("plan.yaml", plan),
+                                      "--balancer-lag-ms",
+                                      std::to_string(balancer_lag_ms)};
   for (const int instance : m_all) {
-    words.push_back("--target");
-    words.push_back("127.0.0.1:" + std::to_string(HttpPort(instance)));
+    command.push_back("--target");
+    command.push_back("127.0.0.1:" + std::to_string(HttpPort(instance)));
   }
-  return RunCommand(words);
+  return RunCommand(command);
 }
 
 std::string ProcessCluster::Write(const std::string& name, const std::string& text) {
@@ -402,9 +403,9 @@
 }
 
 long ProcessCluster::FakeCount(const std::string& name) {
-  std::istringstream words(Fake("/__fake/report").m_body);
+  std::istringstream report(Fake("/__fake/report").m_body);
   std::string line;
-  while (std::getline(words, line)) {
+  while (std::getline(report, line)) {
     if (line.starts_with(name + " "))
       return std::atol(line.c_str() + name.size() + 1);
   }
--- a/tests/process/promises_test.cc
+++ b/tests/process/promises_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// The promises under failure, with real processes.
+// Tests with real processes: guarantees to clients during failures and planned restarts.
 
 #include <atomic>
 #include <catch2/catch.hpp>
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// The report within all that the command printed: the HTTP library may write a warning about a
-/// connection that its peer closed to standard error, before the report.
+/// Extracts the JSON report from the output of a command. The HTTP library may write a warning
+/// about a connection that its peer closed to standard error, before the report.
 std::string ReportOf(const std::string& output) {
   if (output.starts_with('{'))
     return output;
@@ -83,7 +83,8 @@
   CHECK(cluster.FakeCount("keys_doubled") == 0);
 }
 
-// Guards against a leader that is lost, or takes living instances for gone, because syncs are slow.
+// Guards against a leader that steps down, or declares running instances dead, because of slow
+// syncs.
 TEST_CASE("a rolling planned restart on slow disks cuts no request and loses none",
           "[process][planned-stop]") {
   const auto [sync_ms, share] = GENERATE(std::pair(200, 1.0), std::pair(700, 0.2));
@@ -117,14 +118,14 @@
     "[process][ledger]") {
   ProcessCluster cluster(4);
   StartSmallDeployment(cluster);
-  std::atomic<bool> over{false};
+  std::atomic<bool> stopping{false};
   std::atomic<int> answered{0};
   std::atomic<int> unknown{0};
   std::vector<std::set<std::string>> not_run(4);
   std::vector<std::thread> callers;
   for (int c = 0; c < 4; ++c) {
     callers.emplace_back([&, c] {
-      for (int i = 0; !over; ++i) {
+      for (int i = 0; !stopping; ++i) {
         const std::string key = "k" + std::to_string(c) + "-" + std::to_string(i);
         for (int attempt = 0; attempt < 12; ++attempt) {
           const HttpResponse answer = Book(cluster, 1 + (c + i + attempt) % 4, key, "slot " + key);
@@ -154,7 +155,7 @@
     cluster.Start(victim);
     CHECK(cluster.AwaitReady());
   }
-  over = true;
+  stopping = true;
   for (std::thread& caller : callers)
     caller.join();
   INFO("answered " << answered << ", unknown " << unknown);
@@ -196,11 +197,11 @@
   CHECK(refused.m_headers.at("poppyway-run") == "not run");
   CHECK(refused.m_headers.contains("retry-after"));
   CHECK(cluster.FakeCount("keys") == 0);
-  // What may be repeated goes on without the ledger.
+  // Repeatable requests run without the ledger.
   CHECK(Http(cluster.HttpPort(4), "GET", "/desk/look",
              {"poppyway-event: look", "idempotency-key: r"}, "", 8000)
             .m_status == 200);
-  // The majority returns: the same key runs once.
+  // Once the majority runs again, the same key runs once.
   cluster.Start(1);
   cluster.Start(2);
   REQUIRE(cluster.AwaitReady());
@@ -209,7 +210,8 @@
   CHECK(cluster.FakeCount("keys_doubled") == 0);
 }
 
-// Guards against requests that are refused although the ledger is back long before their deadline.
+// Guards against a request that is rejected although the ledger is available again long before the
+// request's deadline.
 TEST_CASE("a request waits for the ledger while more than half of its time is left",
           "[process][ledger]") {
   ProcessCluster cluster(4);
@@ -231,7 +233,8 @@
   CHECK(cluster.FakeCount("keys_doubled") == 0);
 }
 
-// Guards against heartbeats that a leader doesn't count while it isn't confirmed.
+// Guards against a leader that ignores heartbeats until a majority has confirmed it, and then
+// declares the instances that sent them dead.
 TEST_CASE("on slow disks no instance that lives is taken for gone", "[process][members]") {
   ProcessCluster cluster(4);
   cluster.DelaySyncs(200);
@@ -278,9 +281,10 @@
     return at == std::string::npos ? kNever : std::atol(report.c_str() + at + name.size());
   };
   INFO(report);
-  // The server did get work before the order, so that the rest says something.
+  // The server received requests before the order; otherwise the checks below prove nothing.
   CHECK((last_ms(1) != kNever || last_ms(2) != kNever));
-  // Four seconds after the order: the last dispatch, if any, is at least two seconds old.
+  // The report was taken four seconds after the order, so the last dispatch to the server must be
+  // at least two seconds old.
   for (const int leaving : {1, 2})
     CHECK((last_ms(leaving) == kNever || last_ms(leaving) >= 2000));
   const bool others_work =
@@ -297,7 +301,7 @@
           "[process][callers]") {
   ProcessCluster cluster(3);
   StartSmallDeployment(cluster);
-  // All engines are slowed to a crawl and filled.
+  // All engines are slowed to 2 % of their speed, and their slots are filled.
   for (int e = 1; e <= 6; ++e)
     (void)cluster.Fake("/__fake/speed", std::to_string(cluster.FakePort(e)) + " 0.02");
   const std::string body = R"({"prompt":"x","max_tokens":50,"stream":true})";
@@ -310,7 +314,7 @@
   SleepMs(1500);
   const long before = cluster.FakeCount("dispatches");
   CHECK(before == 48);
-  // Three callers come, wait and leave.
+  // Three clients send a request and disconnect while it waits.
   for (int i = 1; i <= 3; ++i)
     (void)Http(cluster.HttpPort(i), "POST", "/v1/completions", {"poppyway-event: exam"}, body, 300);
   SleepMs(500);
--- a/tests/process/shared_state_test.cc
+++ b/tests/process/shared_state_test.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// Configuration and members under failure, with real processes.
+// Tests with real processes: configuration and membership during failures.
 
 #include <catch2/catch.hpp>
 #include <sstream>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Makes one change directly at the leader; returns the outcome's version, or -1.
+/// Proposes one change through any running instance. Returns the version that it created, or -1.
 std::int64_t ChangeOnce(ProcessCluster& cluster, int number, std::int64_t base) {
   wire::ConfigChange change;
   change.change_id = "c" + std::to_string(number);
@@ -26,7 +26,7 @@
   propose.commands.emplace_back().__set_config(change);
   wire::Body body;
   body.__set_propose(propose);
-  // The last instance first: it is no member, so it is never the one a test pauses.
+  // The last instance is tried first: it is not a member, and tests suspend only members.
   const std::vector<int> all(cluster.all().rbegin(), cluster.all().rend());
   for (const int instance : all) {
     if (!cluster.running(instance))
@@ -91,8 +91,8 @@
 
 namespace {
 
-/// When all processes are killed, and how they come back.
-enum class Blow { kBeforeForce, kDuringElection, kStartedLate, kKilledAgain };
+/// When all processes are killed and how they are restarted.
+enum class RestartCase { kBeforeForce, kDuringElection, kStartedLate, kKilledAgain };
 
 void KillAll(ProcessCluster& cluster) {
   for (const int instance : cluster.all()) {
@@ -101,43 +101,44 @@
   }
 }
 
-void StartAll(ProcessCluster& cluster, int apart_ms) {
+void StartAll(ProcessCluster& cluster, int interval_ms) {
   const std::vector<int> last_first(cluster.all().rbegin(), cluster.all().rend());
   for (const int instance : last_first) {
     cluster.Start(instance);
-    SleepMs(apart_ms);
+    SleepMs(interval_ms);
   }
 }
 
-void Strike(ProcessCluster& cluster, Blow blow) {
-  if (blow == Blow::kDuringElection) {
+void KillAndRestartAll(ProcessCluster& cluster, RestartCase restart_case) {
+  if (restart_case == RestartCase::kDuringElection) {
     cluster.Kill(cluster.Leader());
-    SleepMs(350);  // The others have just missed it.
+    SleepMs(350);  // The other members have just missed its heartbeats.
   }
   KillAll(cluster);
-  if (blow == Blow::kKilledAgain) {
+  if (restart_case == RestartCase::kKilledAgain) {
     StartAll(cluster, 0);
     SleepMs(400);
     KillAll(cluster);
   }
-  StartAll(cluster, blow == Blow::kStartedLate ? 700 : 0);
+  StartAll(cluster, restart_case == RestartCase::kStartedLate ? 700 : 0);
 }
 
 }  // namespace
 
-// Guards against a restart of all at another moment than after the changes are in force.
+// Guards against the loss of acknowledged changes if all processes restart before the changes are
+// in force everywhere, during an election, one by one, or twice in a row.
 TEST_CASE("a kill of every process at any moment leaves the last version acknowledged in force",
           "[process][configuration]") {
-  const Blow blow =
-      GENERATE(Blow::kBeforeForce, Blow::kDuringElection, Blow::kStartedLate, Blow::kKilledAgain);
-  CAPTURE(static_cast<int>(blow));
+  const RestartCase restart_case = GENERATE(RestartCase::kBeforeForce, RestartCase::kDuringElection,
+                                            RestartCase::kStartedLate, RestartCase::kKilledAgain);
+  CAPTURE(static_cast<int>(restart_case));
   ProcessCluster cluster(4, {"snapshot_entries: 20"});
   StartSmallDeployment(cluster);
   std::int64_t version = VersionOf(cluster);
   for (int i = 0; i < 60; ++i)
     version = ChangeOnce(cluster, i, version);
   REQUIRE(version == 61);
-  Strike(cluster, blow);
+  KillAndRestartAll(cluster, restart_case);
   bool older = false;
   CHECK(cluster.AwaitStatus([&](const wire::StatusReply& s) {
     for (const wire::InstanceStatus& instance : s.instances)
@@ -148,7 +149,8 @@
   CHECK(VersionOf(cluster) == version);
 }
 
-// Guards against an instance that takes what a member tells from its snapshot for current.
+// Guards against an instance that treats the configuration in a lagging member's snapshot as
+// current and reports that it is ready.
 TEST_CASE(
     "an instance that reads a lagging member after a restart of all isn't ready until it holds "
     "the last version",
@@ -162,33 +164,33 @@
   for (const int instance : cluster.all())
     cluster.Kill(instance);
   const std::size_t before = cluster.LogOf(4).size();
-  // One member of three has no leader: it tells what its snapshot holds.
+  // A single member of three has no leader and serves the configuration in its snapshot.
   cluster.Start(1);
   cluster.Start(4);
-  const auto told = [&] {
+  const auto in_force = [&] {
     return cluster.LogOf(4).find("event=configuration_in_force", before) != std::string::npos;
   };
-  for (int waited = 0; waited < 10'000 && !told(); waited += 50)
+  for (int waited = 0; waited < 10'000 && !in_force(); waited += 50)
     SleepMs(50);
-  REQUIRE(told());
-  // It waits for news from there while the two others elect a leader.
+  REQUIRE(in_force());
+  // The instance still polls the first member while the two others elect a leader.
   SleepMs(300);
   cluster.Suspend(1);
   cluster.Start(2);
   cluster.Start(3);
-  bool heard = false;
+  bool listed = false;
   bool older = false;
   (void)cluster.AwaitStatus(
       [&](const wire::StatusReply& s) {
         for (const wire::InstanceStatus& instance : s.instances) {
-          const bool ours = instance.instance == "entry-4";
-          heard = heard || ours;
-          older = older || (ours && instance.ready && instance.version_in_force < version);
+          const bool observed = instance.instance == "entry-4";
+          listed = listed || observed;
+          older = older || (observed && instance.ready && instance.version_in_force < version);
         }
         return false;
       },
       4000);
-  CHECK(heard);
+  CHECK(listed);
   CHECK_FALSE(older);
   cluster.Resume(1);
   CHECK(cluster.AwaitStatus([&](const wire::StatusReply& s) { return AllInForce(s, 4, version); }));
@@ -273,7 +275,7 @@
                                        [&](const wire::MemberInfo& m) { return m.id == old_id; });
     return old_gone && voters(s) == 3;
   }));
-  // Right after the repair a second member is lost for good.
+  // Right after the replacement a second member loses its data folder.
   const int second = cluster.Leader() == 1 ? 1 : 3;
   cluster.Kill(second);
   cluster.WipeFolder(second);
--- a/tests/process/slow_sync.cc
+++ b/tests/process/slow_sync.cc
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Part of poppyway, a request scheduler for unlike engines.
-// A slow disk for the process tests: loaded before the C library, it has syncs take longer.
+// Simulates a slow disk in the process tests: a library for LD_PRELOAD that delays fsync and
+// fdatasync.
 
 #include <dlfcn.h>
 #include <unistd.h>
@@ -12,23 +13,23 @@
 
 namespace {
 
-/// Number in an environment variable, or `otherwise`.
-double Setting(const char* name, double otherwise) {
+/// Returns the number in an environment variable, or `default_value` if it is not set.
+double Setting(const char* name, double default_value) {
   const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::atof(text);
+  return text == nullptr ? default_value : std::atof(text);
 }
 
-/// Waits for POPPYWAY_SYNC_MS, at a share of the syncs given by POPPYWAY_SYNC_SHARE.
-void Wait() {
+/// Sleeps for POPPYWAY_SYNC_MS with the probability POPPYWAY_SYNC_SHARE.
+void Delay() {
   thread_local std::mt19937 random(static_cast<unsigned>(getpid()));
-  std::uniform_real_distribution<double> any(0, 1);
-  if (any(random) < Setting("POPPYWAY_SYNC_SHARE", 1))
+  std::uniform_real_distribution<double> uniform(0, 1);
+  if (uniform(random) < Setting("POPPYWAY_SYNC_SHARE", 1))
     std::this_thread::sleep_for(
         std::chrono::duration<double, std::milli>(Setting("POPPYWAY_SYNC_MS", 0)));
 }
 
-int After(const char* name, int fd) {
-  Wait();
+int SyncAfterDelay(const char* name, int fd) {
+  Delay();
   using Sync = int (*)(int);
   return reinterpret_cast<Sync>(dlsym(RTLD_NEXT, name))(fd);
 }
@@ -36,9 +37,9 @@
 }  // namespace
 
 extern "C" int fsync(int fd) {
-  return After("fsync", fd);
+  return SyncAfterDelay("fsync", fd);
 }
 
 extern "C" int fdatasync(int fd) {
-  return After("fdatasync", fd);
+  return SyncAfterDelay("fdatasync", fd);
 }
