--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The policy benchmark with its bounds; writes docs/measurements/policy.{md,csv} and a plot.
-# With --quick: shorter runs, bounds only, nothing written (as CI runs it).
+# Runs the policy benchmark, checks its bounds and writes docs/measurements/policy.{md,csv} and a
+# plot. With --quick, as in CI, it runs shorter scenarios, prints only the bounds and writes no
+# files.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD_DIR:-build}
--- a/scripts/build.sh
+++ b/scripts/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Configures and builds everything into build/ (or the folder named by BUILD_DIR).
+# Configures and builds all targets in build/, or in the folder that BUILD_DIR names.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD_DIR:-build}
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Works out docs/CAPACITY.md from measured slopes. Usage: capacity.py SLOPES.csv HOP.md SWEEP.csv"""
+"""Computes docs/CAPACITY.md from slopes. Usage: capacity.py SLOPES.csv HOP.md SWEEP.csv"""
 import collections
 import csv
 import math
 import re
 import sys
 
-# The size to design for, as the users state it.
+# The size and the limits that the users require.
 DAEMONS, SERVERS, ENGINES = 940, 5300, 21000
 REQUESTS, TOKENS = 15000, 5_000_000
 WORKSPACES, MODELS, CENTRES, REGIONS = 580, 9, 7, 2
@@ -14,17 +14,17 @@
 LIMIT_CORE, LIMIT_MB, LIMIT_KBS, LIMIT_APART = 1.4, 256, 7, 10
 FAILURES, RESTARTS = 53, 320
 
-# Our own assumptions, used below and named there.
-HEARTBEAT_S = 1.0          # interval at that size
-SHARD_ENGINES = 128        # engines of one broker
-PEAK = 10                  # peak of changes over their daily mean
-NAMED = 0.10               # share of requests that carry a key
+# Assumptions of the project; the page lists them.
+HEARTBEAT_S = 1.0          # interval of heartbeats at that size, in seconds
+SHARD_ENGINES = 128        # engines per broker
+PEAK = 10                  # ratio of the peak rate of changes to the daily mean
+NAMED = 0.10               # share of requests with an idempotency key
 RETENTION_S = 900
-BATCH = 128                # commands that share a sync under load
+BATCH = 128                # log commands per sync under load
 
 
 def fit(points):
-    """Least squares y = a + b x, and the coefficient of determination."""
+    """Fits y = a + b x by least squares. Returns a, b and the coefficient of determination."""
     n = len(points)
     if n == 1:
         return 0.0, points[0][1] / points[0][0], 1.0
@@ -37,18 +37,20 @@
     return a, b, 1 - rest / syy if syy else 1.0
 
 
-# Of hosted deployments: the sheets' largest size, and limits of their machines.
+# Hosted deployments: the largest size of the specification sheets, and the limits of its machines.
 SHEET_MACHINES = 1730
 HOSTED_LIMITS = {
     "member: processor %": 60, "member: memory MB": 256, "member: connections": 3896,
     "gateway: processor %": 12, "gateway: memory MB": 160, "gateway: connections": 3900,
     "config in force, ms": 2500, "serving after all were killed, ms": 15000,
 }
-MOST_POWER = 2  # What grows faster between three sizes is told so, and not carried on faster.
+# Maximum power for the extrapolation. The table shows a faster growth but does not extrapolate by
+# it.
+MOST_POWER = 2
 
 
 def hosted(path, say):
-    """What sweeps over the sizes of hosted deployments come to at larger sizes."""
+    """Extrapolates the sweeps over sizes of hosted deployments to larger sizes."""
     with open(path) as file:
         rows = list(csv.DictReader(file))
     say("## On a hosting platform\n")
@@ -123,10 +125,12 @@
     reply = at("heartbeat_reply_per_lease_bytes", 0)
     delta = slope["config_delta_bytes"][1]
     per_daemon = REQUESTS / DAEMONS
-    # A request that needs a grant: a demand with one item, its grant, and two uses with the next demand.
+    # A request that needs a grant costs a demand with one item, its grant, and two uses in the next
+    # demand.
     granted = (at("demand_per_item_bytes", 1) + at("grants_per_credit_bytes", 1) +
                2 * slope["demand_per_use_bytes"][1])
-    # One on a standing credit: two uses in a shared demand, and the next standing credit.
+    # A request on a standing credit costs two uses in a shared demand, and the next standing
+    # credit.
     standing = 2 * slope["demand_per_use_bytes"][1] + slope["grants_per_credit_bytes"][1] + (
         at("demand_per_use_bytes", 0) + at("grants_per_credit_bytes", 0)) / 4
     demand_bytes = 0.5 * granted + 0.5 * standing
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Remeasures the slopes and regenerates docs/CAPACITY.md from them; nothing there is typed by hand. What
-# sweeps of hosted deployments showed is in docs/measurements/sweep.csv, made by scripts/sweep_csv.py.
+# Measures the slopes and regenerates docs/CAPACITY.md from them; that page is not edited by hand.
+# The results of sweeps of hosted deployments are read from docs/measurements/sweep.csv, which
+# scripts/sweep_csv.py writes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD_DIR:-build}
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Helpers for scripts that run instances and stand-ins on loopback. To be sourced.
-# Every process that is started is remembered by id, and only those are stopped.
+# Functions for scripts that run instances and fake servers on loopback. Source this file.
+# The ids of all started processes are kept, and only these processes are stopped.
 
 cluster_pids=()
 cluster_base=${CLUSTER_BASE_PORT:-20100}
@@ -31,7 +31,7 @@
   cluster_pids+=($!)
 }
 
-# cluster_ready PORT...: waits until every instance is ready for callers.
+# cluster_ready PORT...: waits until every instance is ready, up to 15 s for each.
 cluster_ready() {
   local port
   for port in "$@"; do
@@ -45,7 +45,7 @@
   done
 }
 
-# cluster_stop: planned stop of all that was started.
+# cluster_stop: sends SIGTERM to all started processes and waits until they exit.
 cluster_stop() {
   local pid
   for pid in "${cluster_pids[@]}"; do kill -TERM "$pid" 2>/dev/null || true; done
@@ -53,7 +53,8 @@
   cluster_pids=()
 }
 
-# fake_arguments FOLDER: options for the stand-in that serves all servers declared there.
+# fake_arguments FOLDER: prints options for a fake server process that serves all servers declared
+# there.
 fake_arguments() {
   python3 - "$1" <<'PY'
 import re, sys, pathlib
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Both example deployments, end to end on loopback: installs, builds, starts stand-ins and seven
-# instances, applies the declarations, drives a session opening, prints goodput by tier, stops all.
+# Runs both example deployments end to end on loopback: installs packages, builds, starts fake
+# servers and seven instances, applies the declarations, runs the load of a session opening, prints
+# goodput by tier and stops all processes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 ./scripts/install_deps.sh
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Regenerates packages/wire/gen from poppyway.thrift. Needs thrift-compiler; the build does not.
+# Regenerates packages/wire/gen from poppyway.thrift. It needs thrift-compiler, which the build does
+# not.
 set -euo pipefail
 cd "$(dirname "$0")/../packages/wire"
 thrift -gen cpp:no_skeleton,moveable_types -out gen poppyway.thrift
--- a/scripts/hop.sh
+++ b/scripts/hop.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# One hop through a gateway against calling the stand-in directly, in one run: latency to the first
-# token, tokens a second, processor time and memory of the instance. Prints Markdown.
+# Compares requests through a gateway with requests sent directly to the fake server, in one run:
+# time to the first token, tokens per second, processor time and memory of the instance. Prints
+# Markdown.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD_DIR:-build}
@@ -23,7 +24,7 @@
   cluster_settings "$folder" "entry-$n" "$n" dc yes
   cluster_start "$build/poppywayd" --settings "$folder/entry-$n.yaml"
 done
-# The measured instance holds no broker lease and no log: an entry instance without a disk.
+# The measured instance holds no broker lease and keeps no log: it is a gateway without a disk.
 cluster_settings "$folder" entry-4 4 dc no
 cluster_start "$build/poppywayd" --settings "$folder/entry-4.yaml"
 daemon=${cluster_pids[-1]}
--- a/scripts/inforce.py
+++ b/scripts/inforce.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""How long a change takes until it is in force everywhere, and what an idle instance costs.
+"""Measures the time until a change is in force at all instances, and the cost of an idle instance.
 
-Usage: inforce.py INSTANCES [CHANGES]. Starts three members and more gateways on loopback, each ended by
-its id. Prints Markdown rows.
+Usage: inforce.py INSTANCES [CHANGES]. Starts INSTANCES instances on loopback, the first three of
+which are members, and ends each by its id. Prints a Markdown row.
 """
 import json
 import os
@@ -71,7 +71,8 @@
         times.sort()
         before = [cpu_seconds(p.pid) for p in processes]
         time.sleep(10)
-        spent = [(cpu_seconds(p.pid) - b) * 10 for p, b in zip(processes, before)]  # Per cent of a core.
+        # Percent of a core.
+        spent = [(cpu_seconds(p.pid) - b) * 10 for p, b in zip(processes, before)]
         gateways = sorted(spent[3:]) or [0]
         memory = sorted(rss_mb(p.pid) for p in processes)
         print(f"| {count} | {times[len(times) // 2]} | {times[int(len(times) * 0.99)]} | {times[-1]} "
--- a/scripts/install_deps.sh
+++ b/scripts/install_deps.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The one list of Debian packages that poppyway needs to build, check and test.
+# Installs the missing Debian packages that poppyway needs to build, check and test. No other file
+# lists them.
 set -euo pipefail
 packages=(
   g++ cmake ninja-build ccache pkg-config clang-format clang-tidy clang libclang-rt-14-dev python3
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Formatter and linter; both must be clean.
+# Runs clang-format and clang-tidy; fails if one of them reports a problem.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD_DIR:-build}
--- a/scripts/losses.py
+++ b/scripts/losses.py
@@ -1,27 +1,29 @@
 #!/usr/bin/env python3
-"""Says from instances' logs where requests were lost, and why.
+"""Classifies lost and late requests from instances' logs.
 
-Reads log lines (a leading simulated time and instance name, as plays print them, are passed over) and splits
-the requests of each route by outcome: in time, late by what, refused or failed by which code, on the caller's
-first try or a later one. With --by-second it also counts places taken and outcomes second by second.
+Reads log lines (a leading simulated time and instance name, as simulations print them, are skipped)
+and counts the requests by their maximum number of output tokens and their outcome: in time, late and
+by which cause, rejected or failed with which code, and whether at the client's first attempt or a
+retry. With --by-second it also prints the used slots and the outcomes of each second.
 
 usage: losses.py [--by-second] AIMS LOG
-AIMS is a list like "3840:400:200:15000,0:100:0:1500": for requests that may generate so many tokens, the aim
-for the first event, the longest pause that is in time, and the patience of a first try, in milliseconds.
+AIMS is a list like "3840:400:200:15000,0:100:0:1500" of TOKENS:FIRST:PAUSE:TIMEOUT. For requests with
+that maximum number of output tokens, it gives the target for the first event, the longest pause that
+is in time (0 for no limit) and the timeout of a first attempt, in milliseconds.
 """
 import argparse
 import collections
 import re
 
 FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
-FIRST_TRY_SLACK_MS = 40  # A first try has lost this much of its patience on its way at most.
+FIRST_TRY_SLACK_MS = 40  # A first attempt has used at most this much of its timeout on arrival.
 
 
 def read_aims(text):
     aims = {}
     for part in text.split(","):
-        tokens, aim, pause, patience = (int(x) for x in part.split(":"))
-        aims[tokens] = (aim, pause, patience)
+        tokens, aim, pause, timeout = (int(x) for x in part.split(":"))
+        aims[tokens] = (aim, pause, timeout)
     return aims
 
 
@@ -36,10 +38,10 @@
             yield at, fields
 
 
-def outcome(fields, aim, pause, patience):
+def outcome(fields, aim, pause, timeout):
     allowed = int(fields["allowed_ms"])
-    first_try = allowed > patience - FIRST_TRY_SLACK_MS
-    before = 0 if first_try else patience - allowed
+    first_try = allowed > timeout - FIRST_TRY_SLACK_MS
+    before = 0 if first_try else timeout - allowed
     which = "first try" if first_try else "later try"
     if fields["code"] != "ok":
         return f'{fields["code"]}, {which}'
--- a/scripts/mutants.py
+++ b/scripts/mutants.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Shows that each proof fails without the mechanism it is about.
+"""Mutation tests: checks that the test of a mechanism fails without the mechanism.
 
-Every mutant takes one mechanism out of a scratch copy of the tree, builds, and runs one test, which
-must fail. Usage: scripts/mutants.py [NAME...]; the result is printed as a table.
+Every mutant removes one mechanism from a scratch copy of the tree, builds the copy and runs one
+test, which must fail. Usage: scripts/mutants.py [NAME...]. The results are printed as a table.
 """
 import pathlib
 import shutil
@@ -12,7 +12,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 
-# name, file, text, replacement, test binary, test name
+# Fields: name, file, text, replacement, test binary, test name.
 MUTANTS = [
     ("claim-skipped", "packages/gateway/src/filter_duplicate.cc",
      "  ClaimKey claim;", "  if (!exchange.m_key.empty())\n    return Verdict::kContinue;\n  ClaimKey claim;",
--- a/scripts/sweep_csv.py
+++ b/scripts/sweep_csv.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Turns the table of a sweep over sizes (30, 100 and 300 machines) into rows for docs/CAPACITY.md.
+"""Converts the table of a sweep over 30, 100 and 300 machines into CSV rows for docs/CAPACITY.md.
 
 Usage: sweep_csv.py DEPLOYMENT <REPORT >>docs/measurements/sweep.csv
-A line of the table reads "what   middle / busiest at each size   power   carried on".
+A line of the table has the form "what   middle / busiest at each size   power   carried on".
 """
 import csv
 import re
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds, and runs every test. Known red tests are passed over and printed.
+# Installs missing packages, builds, and runs all tests except those in KNOWN-RED.txt, which it
+# prints.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 ./scripts/install_deps.sh
