--- a/apps/poppyway/command.h
+++ b/apps/poppyway/command.h
@@ -15,9 +15,9 @@
 /// \brief Exit codes of `poppyway`; docs/OPERATIONS.md lists them.
 enum ExitCode : int {
   kExitOk = 0,
-  kExitFailed = 1,      ///< The request was refused or its outcome is unknown.
+  kExitFailed = 1,      ///< The request was rejected or its outcome is unknown.
   kExitDiffers = 2,     ///< `diff` found differences.
-  kExitNotInForce = 3,  ///< `apply --wait`: accepted, but not yet in force everywhere.
+  kExitNotInForce = 3,  ///< `apply --wait`: the change is accepted but not yet in force everywhere.
   kExitUsage = 64,
   kExitUnreachable = 69,
 };
