--- a/soak/cases.py
+++ b/soak/cases.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 # Part of poppyway, a request scheduler for unlike engines.
-"""What all cases of the soak share, and the running of them one after the other, each on a subnet
-of its own."""
+"""Base class of all soak cases, and a runner that plays them one after the other. Each case has a
+subnet of its own."""
 
 import argparse
 import asyncio
@@ -9,21 +9,21 @@
 import sys
 import time
 
-from fleet import Fleet, document, hold_subnets, release
+from fleet import Fleet, document, reserve_subnets, release
 from stand_ins import Callers, Operator
 
 POOL = "app"
 KEY = "key-of-north"
 DOCUMENT_LIMIT_S = 15
-REGISTER_S = 2.0  # Servers register within two of their heartbeats.
+REGISTER_S = 2.0  # Servers register within two heartbeat intervals.
 WARM_UP_S = 1.0
-STEP_LIMIT_S = 5.0  # For a step that is waited for; every one comes far earlier.
+STEP_LIMIT_S = 5.0  # Timeout of a step that a case waits for; each takes far less time.
 
 
-async def seen(sight, limit=STEP_LIMIT_S):
-    """Waits until `sight()` holds; false if it doesn't within the limit."""
+async def wait_until(condition, limit=STEP_LIMIT_S):
+    """Polls `condition()` until it is true. Returns False after `limit` seconds."""
     end = time.monotonic() + limit
-    while not sight():
+    while not condition():
         if time.monotonic() > end:
             return False
         await asyncio.sleep(0.005)
@@ -31,14 +31,14 @@
 
 
 class FleetCase:
-    """One fleet with its callers and its operator, and the checks that failed."""
+    """A fleet with its clients and operator, and the checks that failed."""
 
     def __init__(self, program, name, subnet, seed, per_s):
         self.name = name
         self.fleet = Fleet(program, subnet)
         self.callers = Callers(self.fleet.instances, KEY, per_s, seed)
         self.operator = Operator(self.fleet.members, seed)
-        self.rng = random.Random(f"{seed}-faults")  # Of what strikes and when.
+        self.rng = random.Random(f"{seed}-faults")  # Chooses the faults and their times.
         self.failures = []
 
     def check(self, holds, what):
@@ -46,13 +46,13 @@
             self.failures.append(what)
 
     async def start_with(self, *servers, warm_up_s=WARM_UP_S):
-        """Starts all processes, gives the document, then starts the servers and the callers."""
+        """Starts all processes, sends the document, then starts the servers and the clients."""
         self.fleet.start()
         status, _ = await self.operator.ask("PUT", "/-/config", document(1, POOL, KEY),
                                             limit=DOCUMENT_LIMIT_S)
         self.check(status == 200, f"the document got {status}")
-        for some in servers:
-            await some.start(POOL)
+        for group in servers:
+            await group.start(POOL)
         await asyncio.sleep(REGISTER_S)
         self.callers.start()
         await asyncio.sleep(warm_up_s)
@@ -60,19 +60,19 @@
     async def kill_leader(self):
         leader = self.fleet.leader()
         if leader is None:
-            return  # All that have led are down.
+            return  # All members that have been leader are down.
         leader.kill()
         await asyncio.sleep(self.rng.uniform(0.2, 1.0))
         leader.start()
 
     async def stop_with(self, *servers):
-        for some in servers:
-            await some.stop()
+        for group in servers:
+            await group.stop()
         self.fleet.stop()
 
 
 async def run_case(make_case, name, subnet, options):
-    """One case from start to end; true if all its checks held."""
+    """Runs one case. Returns True if all of its checks passed."""
     case = make_case(options.program, name, subnet, options.seed)
     try:
         await case.play()
@@ -89,14 +89,15 @@
 
 
 def run_cases(make_case, names, description):
-    """The command line of a soak program. Ends the process with 1 if a case failed."""
+    """Entry point of a soak program: parses the command line, runs the cases and exits with status
+    1 if one of them failed."""
     parser = argparse.ArgumentParser(description=description.splitlines()[0])
     parser.add_argument("--program", required=True, help="path of poppywayd")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--case", nargs="*", default=list(names), choices=list(names))
     parser.add_argument("--keep-logs", help="folder for the logs of cases that fail")
     options = parser.parse_args()
-    first, guards = hold_subnets(len(options.case))
+    first, guards = reserve_subnets(len(options.case))
     passed = sum(asyncio.run(run_case(make_case, name, first + number, options))
                  for number, name in enumerate(options.case))
     release(guards)
--- a/soak/evacuations.py
+++ b/soak/evacuations.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
 # SPDX-License-Identifier: MIT
 # Part of poppyway, a request scheduler for unlike engines.
-"""Evacuations through real processes: stand-in servers in two data centres, callers, an operator.
+"""Evacuations with real processes: fake servers in two data centres, clients and an operator.
 
-Each case orders that one data centre gets nothing new, with one fault of ours; checks are made from
-what servers, callers and the operator saw. One seed gives one schedule of requests.
+Each case evacuates one data centre and injects one fault. The checks use what servers, clients and
+the operator observed. The schedule of requests is deterministic for a seed.
 
     soak/evacuations.py --program build/poppywayd [--seed N] [--case NAME ...]
 """
@@ -14,22 +14,22 @@
 import time
 
 from cases import FleetCase, run_cases
-from stand_ins import Badness, Servers
+from stand_ins import FaultModel, Servers
 
 PER_S = 120
-EVACUATE_S = 5.0  # The bound; cases check a shorter time of their own.
+EVACUATE_S = 5.0  # The configured bound; the cases check shorter times.
 ACK_S = 5.0
 EAST = "/-/evacuations/east"
 
 
 class Case(FleetCase):
-    """One fleet, and what was seen of one evacuation."""
+    """A fleet and the measurements of one evacuation."""
 
     def __init__(self, program, name, subnet, seed):
         super().__init__(program, name, subnet, seed, PER_S)
         members = self.fleet.members
-        self.east = Servers(subnet, "v1", 4, members, Badness(), seed, block=2)
-        self.west = Servers(subnet, "v1", 4, members, Badness(), seed, zone="west", block=3)
+        self.east = Servers(subnet, "v1", 4, members, FaultModel(), seed, block=2)
+        self.west = Servers(subnet, "v1", 4, members, FaultModel(), seed, zone="west", block=3)
         self.figures = {}
 
     async def start(self):
@@ -38,7 +38,8 @@
         self.check(self.east.arrivals(now - 0.5, now), "no work before the order")
 
     async def order(self, ends=False):
-        """Gives the order, or takes it back; returns when it was given and acknowledged."""
+        """Orders the evacuation, or ends it. Returns the times of the order and its
+        acknowledgement."""
         began = time.monotonic()
         status = await self.operator.evacuate("east", ends)
         acknowledged = time.monotonic()
@@ -50,10 +51,11 @@
         return began, acknowledged
 
     def check_empty(self, acknowledged, ended, within):
-        """Nothing reached the east from `within` after the acknowledgement until the end."""
+        """Checks that no request reached the east from `within` seconds after the acknowledgement
+        until the end."""
         assert within <= EVACUATE_S and ended > acknowledged + within
-        seen = self.east.arrivals(acknowledged, ended)
-        last = seen[-1] - acknowledged if seen else 0.0
+        arrivals = self.east.arrivals(acknowledged, ended)
+        last = arrivals[-1] - acknowledged if arrivals else 0.0
         self.figures["last_arrival_s"] = round(last, 3)
         self.check(last <= within, f"work reached the east {last:.2f} s after the order")
         self.check(self.west.arrivals(acknowledged + within, ended), "no work in the west")
@@ -84,7 +86,7 @@
         await asyncio.sleep(1.0)
         leader.start()
         await asyncio.sleep(2.5)
-        # The end is ordered while nobody leads.
+        # The end is ordered while there is no leader.
         leader = self.fleet.leader()
         leader.kill()
         ended, _ = await self.order(ends=True)
@@ -114,7 +116,7 @@
         self.check_empty(acknowledged, ended, 3.0)
         await self.check_returned()
 
-    async def taken_back_while_told(self):
+    async def ended_while_propagating(self):
         for _ in range(5):
             await self.order()
             await self.order(ends=True)
@@ -126,17 +128,18 @@
         await self.check_returned()
 
     async def command(self, *arguments):
-        """Runs the command line against an instance; its exit code and what it printed."""
+        """Runs the command-line client against an instance. Returns its exit code and its
+        output."""
         instance = self.fleet.instances[0]
         process = await asyncio.create_subprocess_exec(
             os.path.join(os.path.dirname(self.fleet.program), "poppyway"),
-            "--instance", instance.peer_place, *arguments,
+            "--instance", instance.peer_endpoint, *arguments,
             stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT)
         output, _ = await process.communicate()
         return process.returncode, output.decode()
 
     async def by_command_line(self):
-        """Through an instance that is no member."""
+        """Sends the orders through an instance that is not a member."""
         code, output = await self.command("evacuate", "nowhere")
         self.check(code != 0 and "not_found" in output, f"unknown: {code}, {output}")
         code, output = await self.command("evacuate", "east")
@@ -179,7 +182,7 @@
     "leader-killed": Case.leader_killed,
     "answer-lost": Case.answer_lost,
     "all-members-killed": Case.all_members_killed,
-    "taken-back-while-told": Case.taken_back_while_told,
+    "taken-back-while-told": Case.ended_while_propagating,
     "by-command-line": Case.by_command_line,
 }
 
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: MIT
 # Part of poppyway, a request scheduler for unlike engines.
-"""Real poppywayd processes of a hosted deployment on loopback: members, instances, their settings.
+"""Real poppywayd processes of a hosted deployment on loopback: members, instances and their
+settings.
 
-Each process has an address of its own in 127.0.0.0/8, so all use the same ports. Processes are
-started here and ended by their ids only.
+Each process has its own address in 127.0.0.0/8, so all use the same ports. Processes are ended by
+their ids only.
 """
 
 import json
@@ -16,26 +17,28 @@
 CALLERS_PORT = 8221
 CONTROL_PORT = 8229
 READINESS_PORT = 8224
-GUARD_PORT = 7999  # Of the socket that marks a subnet as used.
+GUARD_PORT = 7999  # Port of the socket that marks a subnet as used.
 INTERNAL_PORTS = "7600,7615"
 
 
-def hold_subnets(count):
-    """The first of `count` numbers N whose addresses 127.N.x.y no other run uses, and the sockets
-    that hold them, one each, for as long as they are kept: runs of other counts see them too."""
+def reserve_subnets(count):
+    """Reserves `count` consecutive subnets 127.N.x.y that no other run uses, whatever count that
+    run has. Returns the first N and one socket per subnet, which reserves it until the socket is
+    closed."""
     for first in range(20, 250 - count, count):
         guards = []
         try:
             for number in range(first, first + count):
-                guards.append(hold_subnet(number))
+                guards.append(reserve_subnet(number))
             return first, guards
         except OSError:
             release(guards)
     raise RuntimeError("no loopback addresses are free")
 
 
-def hold_subnet(number):
-    """A socket that marks the addresses 127.number.x.y as used; OSError if another run has them."""
+def reserve_subnet(number):
+    """Reserves the subnet 127.number.x.y. Returns the socket that marks it as used; raises OSError
+    if another run uses the subnet."""
     guard = socket.socket()
     try:
         guard.bind((f"127.{number}.0.250", GUARD_PORT))
@@ -52,13 +55,14 @@
 
 
 class Process:
-    """One poppywayd with its settings file, data folder and log."""
+    """A poppywayd process with its settings file, data folder and log."""
 
     def __init__(self, folder, name, address, member, seeds, program):
         self.name = name
         self.address = address
         self.member = member
-        self.peer_place = f"{address}:{INTERNAL_PORTS.split(',')[0]}"  # For the command line.
+        # For the command-line client.
+        self.peer_endpoint = f"{address}:{INTERNAL_PORTS.split(',')[0]}"
         self._seeds = seeds
         self._program = program
         self._folder = os.path.join(folder, name)
@@ -95,7 +99,8 @@
         return path
 
     def start(self, first_start=False):
-        """No effect while it runs: faults that overlap may both start what one of them killed."""
+        """Starts the process. Has no effect if it runs already: overlapping faults may both restart
+        a process that one of them killed."""
         if self.running():
             return
         settings = self._write_settings(first_start)
@@ -123,7 +128,7 @@
 
 
 class Fleet:
-    """Members and instances of one deployment."""
+    """The members and instances of one deployment."""
 
     def __init__(self, program, subnet, members=5, instances=3):
         self.program = program
@@ -148,7 +153,8 @@
         self._folder.cleanup()
 
     def leader(self):
-        """The member that says last that it leads, by term."""
+        """Returns the running member whose log has the highest term as leader; None if there is
+        none."""
         best, term = None, -1
         for member in self.members:
             if not member.running():
@@ -161,14 +167,14 @@
                     best, term = member, found
         return best
 
-    def leader_says(self, words):
-        """How many times the leader's log has the words."""
+    def count_in_leader_log(self, text):
+        """Returns how often the leader's log contains the text."""
         leader = self.leader()
-        return 0 if leader is None else leader.log().count(words)
+        return 0 if leader is None else leader.log().count(text)
 
 
 def document(version, pool, key):
-    """An operator's document: one pool, a route that may be repeated and one that may not."""
+    """Returns an operator's document with one pool, a repeatable route and a non-repeatable one."""
     def route(name, kind):
         return {"name": name, "host": "a.example", "path_prefix": f"/{name}/", "route_kind": kind,
                 "timeout_ms": 2000, "slo_ms": 300, "priority": 0, "service": pool,
--- a/soak/large_changes.py
+++ b/soak/large_changes.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
 # SPDX-License-Identifier: MIT
 # Part of poppyway, a request scheduler for unlike engines.
-"""What changes of a large configuration cost, in bytes between real processes and in time until
-they are in force at every instance, with faults meanwhile.
+"""Costs of changes of a large configuration with real processes: the bytes that are sent and the
+time until a change is in force at every instance, also while faults are injected.
 
     soak/large_changes.py --program build/poppywayd [--seed N] [--case NAME ...]
 """
@@ -14,32 +14,33 @@
 import signal
 import time
 
-from cases import KEY, POOL, FleetCase, run_cases, seen
+from cases import KEY, POOL, FleetCase, run_cases, wait_until
 from fleet import CONTROL_PORT, INTERNAL_PORTS, document
-from stand_ins import Badness, Servers, call
+from stand_ins import FaultModel, Servers, call
 
 PER_S = 50
-ROUTES = 1400  # That a large change adds.
-LARGE = 3  # Large changes in a row.
+ROUTES = 1400  # Routes that a large change adds.
+LARGE = 3  # Number of consecutive large changes.
 LARGE_GAP_S = 0.6
-SMALL = 12  # Small changes in a row.
+SMALL = 12  # Number of consecutive small changes.
 SMALL_GAP_S = 0.2
-IN_FORCE_S = 3.0  # From the acknowledgement of a change until it holds at every instance.
-SERVES_S = 2.0  # An instance that is told to stop serves for longer.
-STOPPED_S = 8.0  # Until it has ended.
-FAULT_S = 6.0  # For the faults of a case to be over and what they struck to have caught up.
+IN_FORCE_S = 3.0  # Limit from the acknowledgement of a change until it is in force everywhere.
+SERVES_S = 2.0  # An instance serves for longer than this after SIGTERM.
+STOPPED_S = 8.0  # Limit from SIGTERM to the exit.
+FAULT_S = 6.0  # Limit for the faults of a case to end and the affected processes to catch up.
 REST_S = 2.0
-IDLE_S = 3.0  # For which the bytes of a fleet at rest are counted.
-# What a change may cost for each process beside its own size: versions, answers, acknowledgements.
+IDLE_S = 3.0  # Time over which the bytes of an idle fleet are counted.
+# Limit of the bytes per process that a change costs beyond its own size: versions, responses and
+# acknowledgements.
 SMALL_COST_BYTES = 4096
-KILLS = 8  # Of one leader after the other, while operators ask.
-ASKED_S = 0.8  # From a kill on: another leads by then.
-READERS, WRITERS = 5, 3  # At each member, each one call after the other.
+KILLS = 8  # Number of leaders killed one after the other while operators send requests.
+ASKED_S = 0.8  # Time of the requests after a kill; a new leader is elected within it.
+READERS, WRITERS = 5, 3  # Per member; each sends one request after the other.
 METRICS_PORT = int(INTERNAL_PORTS.split(",")[0]) + 10
 
 
 class Configuration:
-    """An operator's document that grows by routes and changes in a time-out."""
+    """An operator's document to which routes are added and whose timeouts change."""
 
     def __init__(self, seed):
         self._rng = random.Random(f"{seed}-routes")
@@ -47,7 +48,7 @@
         self.version = 1
 
     def add_routes(self, count):
-        """The bytes that the text has grown by."""
+        """Adds `count` routes. Returns by how many bytes the text has grown."""
         before = len(json.dumps(self._document))
         for _ in range(count):
             name = f"{self._rng.getrandbits(48):x}"
@@ -55,7 +56,7 @@
                 self._document["routes"][0], name=f"r-{name}", path_prefix=f"/{name}/"))
         return len(json.dumps(self._document)) - before
 
-    def change_time_out(self):
+    def change_timeout(self):
         route = self._rng.choice(self._document["routes"])
         route["timeout_ms"] = self._rng.randrange(2000, 9000)
 
@@ -66,16 +67,17 @@
 
 
 class Case(FleetCase):
-    """One fleet under changes of its configuration."""
+    """A fleet whose configuration changes."""
 
     def __init__(self, program, name, subnet, seed):
         super().__init__(program, name, subnet, seed, PER_S)
-        self.servers = Servers(subnet, "v1", 4, self.fleet.members, Badness(), seed)
+        self.servers = Servers(subnet, "v1", 4, self.fleet.members, FaultModel(), seed)
         self.configuration = Configuration(seed)
         self.late = []
 
     async def put(self):
-        """Sends the configuration as it is now; the time of its acknowledgement."""
+        """Sends the current configuration as a new version. Returns the time of the
+        acknowledgement."""
         text = self.configuration.next_text()
         status, _ = await self.operator.ask("PUT", "/-/config", text, limit=FAULT_S)
         self.check(status == 200, f"version {self.configuration.version} got {status}")
@@ -92,18 +94,20 @@
                     for process in processes])
 
     async def wait_in_force(self, limit_s):
-        """Until the newest version is in force at every instance."""
-        words = f"event=configuration_in_force version={self.configuration.version} "
+        """Waits until the newest version is in force at every instance; fails a check on a
+        timeout."""
+        event = f"event=configuration_in_force version={self.configuration.version} "
         end = time.monotonic() + limit_s
         behind = self.fleet.instances
         while behind and time.monotonic() < end:
             await asyncio.sleep(0.05)
-            behind = [instance for instance in behind if words not in instance.log()]
+            behind = [instance for instance in behind if event not in instance.log()]
         self.check(not behind, f"version {self.configuration.version} isn't in force within "
                    f"{limit_s} s at {len(behind)} of {len(self.fleet.instances)} instances")
 
     async def grow(self):
-        """Large changes, until the last is in force everywhere; the bytes they added."""
+        """Makes the large changes and waits until the last one is in force everywhere. Returns the
+        bytes that they added."""
         grown = 0
         for _ in range(LARGE):
             grown += self.configuration.add_routes(ROUTES)
@@ -114,22 +118,22 @@
 
     async def change_often(self, limit_s):
         for _ in range(SMALL):
-            self.configuration.change_time_out()
+            self.configuration.change_timeout()
             await self.put()
             await asyncio.sleep(SMALL_GAP_S)
         await self.wait_in_force(limit_s)
 
     async def cost(self, changes):
-        """Bytes that were sent for `changes`, beyond those that a fleet at rest sends."""
+        """Returns the bytes that were sent for `changes`, less those that an idle fleet sends."""
         begun = time.monotonic()
         before = await self.bytes_sent()
         await asyncio.sleep(IDLE_S)
-        at_rest = (await self.bytes_sent() - before) / (time.monotonic() - begun)
+        idle_rate = (await self.bytes_sent() - before) / (time.monotonic() - begun)
         begun = time.monotonic()
         before = await self.bytes_sent()
         result = await changes
         sent = await self.bytes_sent() - before
-        return result, sent - at_rest * (time.monotonic() - begun)
+        return result, sent - idle_rate * (time.monotonic() - begun)
 
     async def cost_follows_the_change(self):
         processes = len(self.fleet.members) + len(self.fleet.instances)
@@ -142,24 +146,26 @@
         print(f"grown={grown} sent={sent:.0f} small_sent={small:.0f}", flush=True)
 
     async def restart_instances(self):
-        struck = self.rng.sample(self.fleet.instances, max(1, len(self.fleet.instances) * 2 // 3))
-        for instance in struck:
+        affected = self.rng.sample(self.fleet.instances, max(1, len(self.fleet.instances) * 2 // 3))
+        for instance in affected:
             instance.kill()
         await asyncio.sleep(self.rng.uniform(0.2, 1.0))
-        for instance in struck:
+        for instance in affected:
             instance.start()
 
     async def stop_instances(self):
-        """Planned stops, while callers use their open connections until the process is gone."""
-        struck = self.rng.sample(self.fleet.instances, max(1, len(self.fleet.instances) * 2 // 3))
+        """Stops instances as planned, while clients use their open connections until the process
+        exits."""
+        affected = self.rng.sample(self.fleet.instances, max(1, len(self.fleet.instances) * 2 // 3))
         begun = time.monotonic()
-        for instance in struck:
+        for instance in affected:
             instance.send_signal(signal.SIGTERM)
-        ended = await seen(lambda: not any(instance.running() for instance in struck), STOPPED_S)
+        ended = await wait_until(
+            lambda: not any(instance.running() for instance in affected), STOPPED_S)
         self.check(ended, f"a stopped instance still runs after {STOPPED_S} s")
         cut = [sent - begun for sent, _ in self.callers.cut if sent <= begun + SERVES_S]
         self.check(not cut, f"requests without an answer, sent {cut[:3]} s after the stop")
-        for instance in struck:
+        for instance in affected:
             instance.start()
 
     async def kill_members(self):
@@ -170,11 +176,11 @@
             member.start()
 
     async def stop_in_passing(self):
-        """A planned stop of one instance that other faults may strike meanwhile."""
-        struck = self.rng.choice(self.fleet.instances)
-        struck.send_signal(signal.SIGTERM)
-        await seen(lambda: not struck.running(), STOPPED_S)
-        struck.start()
+        """Stops one instance as planned, while other faults may affect it."""
+        affected = self.rng.choice(self.fleet.instances)
+        affected.send_signal(signal.SIGTERM)
+        await wait_until(lambda: not affected.running(), STOPPED_S)
+        affected.start()
 
     async def overlapping(self):
         for fault in self.rng.sample(
@@ -185,21 +191,21 @@
 
     async def changes_under(self, fault):
         await self.grow()
-        struck = asyncio.create_task(fault())
+        affected = asyncio.create_task(fault())
         await self.change_often(FAULT_S)
-        await struck
+        await affected
         await self.wait_in_force(FAULT_S)
         status, body = await self.operator.ask("GET", "/-/config", limit=FAULT_S)
         held = json.loads(body)["version"] if status == 200 else None
         self.check(held == self.configuration.version,
                    f"read back {held} after {self.configuration.version} was acknowledged")
 
-    async def asked_while_leaders_change(self):
-        """No operator is shown an older version than one that was acknowledged, and none that sends
-        a newer one is refused."""
+    async def requests_while_leaders_change(self):
+        """Checks that no operator reads an older version than the one that was acknowledged, and
+        that no newer version is rejected."""
         for _ in range(KILLS):
             leader = self.fleet.leader()
-            self.configuration.change_time_out()
+            self.configuration.change_timeout()
             await self.put()
             leader.kill()
             acknowledged, end = self.configuration.version, time.monotonic() + ASKED_S
@@ -243,7 +249,7 @@
     "leader-killed": lambda case: case.changes_under(case.kill_leader),
     "all-members-killed": lambda case: case.changes_under(case.kill_members),
     "overlapping-faults": lambda case: case.changes_under(case.overlapping),
-    "asked-while-leaders-change": Case.asked_while_leaders_change,
+    "asked-while-leaders-change": Case.requests_while_leaders_change,
 }
 
 
--- a/soak/server_words.py
+++ b/soak/server_words.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
 # SPDX-License-Identifier: MIT
 # Part of poppyway, a request scheduler for unlike engines.
-"""What servers say of themselves in their answers, heeded by real processes: stand-in servers that
-turn requests away and ask the instance for a time without requests, or say that they leave.
+"""Notices of servers in their responses, with real processes: fake servers reject requests and ask
+the instance to back off, or announce that they are leaving.
 
-Each case has one kind of fault of ours, the last one several; checks are made from what servers and callers saw. One seed gives
-one schedule of requests.
+Each case injects one kind of fault, the last one several. The checks use what servers and clients
+observed. The schedule of requests is deterministic for a seed.
 
     soak/server_words.py --program build/poppywayd [--seed N] [--case NAME ...]
 """
@@ -15,107 +15,115 @@
 import signal
 
 from cases import FleetCase, run_cases
-from stand_ins import Badness, Servers
+from stand_ins import FaultModel, Servers
 
 PER_S = 150
 SERVERS = 8
-SPEAKING = 2  # Servers that ask for a time without requests, or leave.
+NOTIFYING = 2  # Number of servers that send each kind of notice.
 BACK_OFF_S = 2.0
-SPELL_S = 5.0  # For which they do so.
+NOTICE_S = 5.0  # Time during which they send it.
 BACKS_OFF = "backs off"
 LEAVES = "leaves"
-TURNED_AWAY = 0.5  # Of the requests. A server that turned all away would be avoided for failing.
-CROSSING_S = 0.5  # Requests that were on their way when a server answered.
-CROSSING_MOST = 2
-LEAVE_S = 2.0  # A server that leaves serves on for so long.
-FAULTS = 8  # Of the case whose faults overlap.
-REST_S = 1.0  # From the last fault to the end of a case.
+# Share of the requests that a server rejects. One that rejected all would be ejected for its
+# failures.
+REJECTED_SHARE = 0.5
+CROSSING_S = 0.5  # Requests within this time may have been sent before the notice arrived.
+CROSSING_MOST = 2  # Requests after that time that are tolerated within one back-off.
+LEAVE_S = 2.0  # How long a leaving server still serves requests.
+FAULTS = 8  # Number of faults of the case with overlapping faults.
+REST_S = 1.0  # Time between the last fault and the end of a case.
 
 
-class Speaking(Servers):
-    """Servers of which the busiest speak, once told. Slow ones may get no request for seconds."""
+class NotifyingServers(Servers):
+    """Servers, the busiest of which send notices from a given time on. Slow servers may get no
+    request for seconds."""
 
     def __init__(self, *arguments, **options):
         super().__init__(*arguments, **options)
-        self.speaking = {BACKS_OFF: set(), LEAVES: set()}  # Places by what they say.
-        self.got = collections.Counter()  # Requests by place.
-        self.asked = {}  # (server, instance) to when it asked last.
-        self.reached = {}  # (server, instance) to when requests came within a time it asked for.
-        self.told_leaving = {}  # (server, instance) to when its first answer that says so went out.
-        self.late = []  # Requests after that: by how much.
-
-    def speak(self, *words):
-        """The busiest say the first word from now on, the next ones the second."""
-        busiest = [place for place, _ in self.got.most_common()]
-        for k, word in enumerate(words):
-            self.speaking[word] = set(busiest[k * SPEAKING:(k + 1) * SPEAKING])
-
-    def fall_silent(self):
-        for places in self.speaking.values():
-            places.clear()
+        self.notifying = {BACKS_OFF: set(), LEAVES: set()}  # Addresses by kind of notice.
+        self.got = collections.Counter()  # Requests by address.
+        self.back_off_notices = {}  # (server, instance) to the time of the last back-off notice.
+        # ((server, instance), time of the notice) to requests during the back-off.
+        self.reached = {}
+        self.leaving_notices = {}  # (server, instance) to the time of the first leaving notice.
+        self.late = []  # Seconds since that notice of each request that came later than LEAVE_S.
+
+    def send_notices(self, *kinds):
+        """From now on the busiest servers send the first kind of notice, the next ones the
+        second."""
+        busiest = [address for address, _ in self.got.most_common()]
+        for k, kind in enumerate(kinds):
+            self.notifying[kind] = set(busiest[k * NOTIFYING:(k + 1) * NOTIFYING])
+
+    def stop_notices(self):
+        for addresses in self.notifying.values():
+            addresses.clear()
 
     def forget(self, instance):
-        """The instance has died: its next life knows nothing of what was said."""
-        for known in (self.asked, self.told_leaving):
+        """Forgets the notices to an instance that was killed; after a restart it knows none of
+        them."""
+        for known in (self.back_off_notices, self.leaving_notices):
             for pair in [pair for pair in known if pair[1] == str(instance)]:
                 del known[pair]
 
-    def judge(self, place, ident, now):
-        """Notes a request that reached a server; the fields that its answer gets, and whether it
-        is turned away."""
-        self.got[place] += 1
-        pair = (place, ident.split("-")[1])
-        asked = self.asked.get(pair)
+    def judge(self, address, ident, now):
+        """Records a request that reached a server. Returns the notice headers of the response, and
+        whether the request is rejected."""
+        self.got[address] += 1
+        pair = (address, ident.split("-")[1])
+        asked = self.back_off_notices.get(pair)
         if asked is not None and CROSSING_S <= now - asked < BACK_OFF_S:
             self.reached.setdefault((pair, asked), []).append(now - asked)
-        told = self.told_leaving.get(pair)
+        told = self.leaving_notices.get(pair)
         if told is not None and now - told > LEAVE_S:
             self.late.append(round(now - told, 2))
         fields = []
-        if place in self.speaking[LEAVES]:
-            self.told_leaving.setdefault(pair, now)
+        if address in self.notifying[LEAVES]:
+            self.leaving_notices.setdefault(pair, now)
             fields.append("Server-Leaving: 1")
-        turned_away = place in self.speaking[BACKS_OFF] and self._rng.random() < TURNED_AWAY
-        if turned_away:
+        rejected = address in self.notifying[BACKS_OFF] and self._rng.random() < REJECTED_SHARE
+        if rejected:
             if asked is None or now - asked >= BACK_OFF_S:
-                self.asked[pair] = now
+                self.back_off_notices[pair] = now
             fields += [f"Retry-After: {BACK_OFF_S}", "X-Not-Executed: 1"]
-        return fields, turned_away
+        return fields, rejected
 
     def broken(self):
-        """Times that were asked for and not kept."""
+        """Returns the back-offs during which more than CROSSING_MOST requests came."""
         return {pair: [round(late, 2) for late in lates]
                 for (pair, _), lates in self.reached.items() if len(lates) > CROSSING_MOST}
 
 
 class Case(FleetCase):
-    """One fleet, and what its servers saw."""
+    """A fleet whose servers send notices."""
 
     def __init__(self, program, name, subnet, seed):
         super().__init__(program, name, subnet, seed, PER_S)
-        self.servers = Speaking(subnet, "v1", SERVERS, self.fleet.members, Badness(), seed)
+        self.servers = NotifyingServers(subnet, "v1", SERVERS, self.fleet.members, FaultModel(),
+                                        seed)
 
     async def nothing_else(self):
-        await asyncio.sleep(SPELL_S)
+        await asyncio.sleep(NOTICE_S)
 
     async def leader_killed(self):
-        """Twice: the broker that knew what servers had said is gone, and so is the next one."""
+        """Kills the leader twice, so that the broker that knows the notices is lost, and then the
+        next."""
         for _ in range(2):
             await asyncio.sleep(self.rng.uniform(0.3, 1.2))
             leader = self.fleet.leader()
             leader.kill()
-            await asyncio.sleep(SPELL_S / 2 - 1.0)
+            await asyncio.sleep(NOTICE_S / 2 - 1.0)
             leader.start()
 
     async def all_members_killed(self):
-        """Instances decide alone meanwhile."""
+        """Kills all members, so that instances choose servers without a broker."""
         await asyncio.sleep(self.rng.uniform(0.3, 1.2))
         for member in self.fleet.members:
             member.kill()
-        await asyncio.sleep(SPELL_S / 2)
+        await asyncio.sleep(NOTICE_S / 2)
         for member in self.fleet.members:
             member.start()
-        await asyncio.sleep(SPELL_S / 2)
+        await asyncio.sleep(NOTICE_S / 2)
 
     async def pause_member(self):
         member = self.rng.choice(self.fleet.members)
@@ -127,12 +135,12 @@
         number = self.rng.randrange(len(self.fleet.instances))
         instance = self.fleet.instances[number]
         instance.kill()
-        await asyncio.sleep(0.3)  # What it sent has been answered by then.
+        await asyncio.sleep(0.3)  # Its outstanding requests are complete by then.
         self.servers.forget(number)
         instance.start()
 
     async def overlapping(self):
-        """Kills, restarts and pauses, some of them at the same time."""
+        """Injects random kills, restarts and pauses, some of them at the same time."""
         faults = []
         for _ in range(FAULTS):
             fault = self.rng.choice((self.kill_leader, self.pause_member, self.restart_instance))
@@ -142,28 +150,28 @@
 
     async def play(self):
         await self.start_with(self.servers)
-        fault, words = CASES[self.name]
-        self.servers.speak(*words)
+        fault, kinds = CASES[self.name]
+        self.servers.send_notices(*kinds)
         await fault(self)
-        self.servers.fall_silent()
+        self.servers.stop_notices()
         await asyncio.sleep(REST_S)
         await self.callers.stop()
-        self.judge(words)
+        self.judge(kinds)
 
-    def judge(self, words):
+    def judge(self, kinds):
         broken = self.servers.broken()
         self.check(not broken, f"requests in a time that a server asked for: {broken}")
         late = self.servers.late
         self.check(not late, f"{len(late)} requests at servers that had said they leave: {late[:5]}")
-        spoke = {BACKS_OFF: self.servers.asked, LEAVES: self.servers.told_leaving}
-        for word in words:
-            self.check(len(spoke[word]) > 1, f"no server said that it {word}")
+        notified = {BACKS_OFF: self.servers.back_off_notices, LEAVES: self.servers.leaving_notices}
+        for kind in kinds:
+            self.check(len(notified[kind]) > 1, f"no server said that it {kind}")
         self.check(not self.callers.wrong, "answers of other requests")
         served = self.callers.outcomes.get(200, 0)
         total = sum(self.callers.outcomes.values())
         if self.name.endswith("no-fault"):
             self.check(served >= 0.9 * total, f"{served} of {total} served")
-        print(f"case={self.name} spoke={[len(spoke[word]) for word in words]} "
+        print(f"case={self.name} spoke={[len(notified[kind]) for kind in kinds]} "
               f"broken={len(broken)} late={len(late)} served={served} total={total} "
               f"outcomes={self.callers.outcomes}", flush=True)
 
--- a/soak/stand_ins.py
+++ b/soak/stand_ins.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: MIT
 # Part of poppyway, a request scheduler for unlike engines.
-"""Stand-ins for the outside of a hosted deployment: backend servers, callers, an operator."""
+"""Fakes of what surrounds a hosted deployment: backend servers, clients and an operator."""
 
 import asyncio
 import json
@@ -11,11 +11,12 @@
 
 
 async def read_message(reader):
-    """The first line, the fields and the body of one HTTP message, or None at the end."""
+    """Reads one HTTP message. Returns its first line, headers and body, or None if the connection
+    ends."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-        return None  # The peer or this stand-in ends the connection.
+        return None  # The peer or this process ended the connection.
     fields = dict(line.lower().split(": ", 1) for line in head[1:] if ": " in line)
     body = await reader.readexactly(int(fields.get("content-length", 0)))
     return head[0], fields, body
@@ -27,7 +28,8 @@
 
 
 async def call(address, port, method, path, body="", fields=(), timeout=2.0):
-    """One request on a connection of its own: status and body; 0 without a whole answer."""
+    """Sends one request on a new connection. Returns status and body; the status is 0 without a
+    complete response within `timeout` seconds."""
     connections = Connections(address, port)
     try:
         return await connections.call(method, path, body, fields, timeout)
@@ -36,14 +38,16 @@
 
 
 class Connections:
-    """Connections to one place that stay open and are used again until the place closes them."""
+    """Pool of keep-alive connections to one address; a connection is reused until the peer closes
+    it."""
 
     def __init__(self, address, port):
         self._address, self._port = address, port
         self._idle = []
 
     async def call(self, method, path, body="", fields=(), timeout=2.0):
-        """Status and body; 0 without a whole answer."""
+        """Sends one request. Returns status and body; the status is 0 without a complete response
+        within `timeout` seconds."""
         reader, writer = None, None
         try:
             async with asyncio.timeout(timeout):
@@ -71,7 +75,7 @@
         self._idle = []
 
     def _take(self):
-        """An open connection that nothing is asked on, or None."""
+        """Takes an idle open connection from the pool. Returns None if there is none."""
         while self._idle:
             reader, writer = self._idle.pop()
             if not reader.at_eof() and not writer.is_closing():
@@ -80,41 +84,47 @@
         return None
 
 
-class Badness:
-    """How a version is bad: what share of its answers, how, from when, where. One that is bad when
-    told stays good until its servers are told to turn bad."""
+class FaultModel:
+    """How a version is faulty.
+
+    `share`: share of the requests that are affected. `fails`: share of those that get status 500.
+    `slow`: factor of their processing time. `from_s`: seconds after the start of the servers before
+    which no request is affected. `route`: the only affected route. `above`: number of concurrent
+    requests of a server above which requests are affected. `on_demand`: the version is good until
+    turn_bad() is called.
+    """
 
     def __init__(self, fails=0.0, slow=1.0, share=1.0, from_s=0.0, route=None, above=0,
-                 when_told=False):
+                 on_demand=False):
         self.fails, self.slow, self.share = fails, slow, share
         self.from_s, self.route, self.above = from_s, route, above
-        self.when_told = when_told
+        self.on_demand = on_demand
 
-    def strikes(self, since, path, at_work, rng):
+    def affects(self, since, path, running, rng):
         return (since >= self.from_s and (self.route is None or path.startswith(f"/{self.route}/"))
-                and at_work > self.above and rng.random() < self.share)
+                and running > self.above and rng.random() < self.share)
 
 
 class Servers:
-    """Backend servers of one version, each with a heartbeat of its own."""
+    """Backend servers of one version; each sends heartbeats of its own."""
 
-    def __init__(self, subnet, version, count, members, badness, seed, work_s=0.02, zone="east",
+    def __init__(self, subnet, version, count, members, fault_model, seed, work_s=0.02, zone="east",
                  block=None):
-        """`work_s`: a request's time here. `block`: the third number of their addresses; by default
-        it goes by the version."""
+        """`work_s`: processing time of a request. `block`: third number of the addresses; the
+        default depends on the version."""
         self.version = version
         self.zone = zone
-        self.runs = {}  # Request id to when it ran.
-        self.bad = []  # When each bad answer was given.
+        self.runs = {}  # Request id to the times at which it ran.
+        self.bad = []  # Times of the bad responses.
         self.begun = time.monotonic()
         if block is None:
             block = 2 if version == "v1" else 3
         self._names = f"i-{version}" if zone == "east" else f"i-{zone}-{version}"
-        self.places = [f"127.{subnet}.{block}.{i + 1}" for i in range(count)]
+        self.addresses = [f"127.{subnet}.{block}.{i + 1}" for i in range(count)]
         self._members = members
-        self._badness = badness
+        self._fault_model = fault_model
         self._work_s = work_s
-        self._may_be_bad = not badness.when_told
+        self._faults_enabled = not fault_model.on_demand
         self._rng = random.Random(f"{seed}-{version}")
         self._stage = "ready"
         self._tasks = []
@@ -122,37 +132,38 @@
 
     async def start(self, pool):
         self.begun = time.monotonic()
-        for i, place in enumerate(self.places):
-            state = {"at_work": 0, "speed": self._rng.uniform(0.8, 1.25), "place": place}
+        for i, address in enumerate(self.addresses):
+            state = {"running": 0, "speed": self._rng.uniform(0.8, 1.25), "address": address}
             handler = lambda r, w, s=state: self._serve(r, w, s)
-            self._listeners.append(await asyncio.start_server(handler, place, 8080))
+            self._listeners.append(await asyncio.start_server(handler, address, 8080))
             name = f"{self._names}-{i}"
-            self._tasks.append(asyncio.create_task(self._beat(name, place, pool)))
+            self._tasks.append(asyncio.create_task(self._send_heartbeats(name, address, pool)))
 
     async def stop(self):
-        """At once, as a platform stops servers: connections are cut."""
+        """Stops the servers at once, as a platform does, without closing connections in order."""
         for task in self._tasks:
             task.cancel()
         for listener in self._listeners:
             listener.close()
 
-    def judge(self, _place, _ident, _now):
-        """Fields that an answer gets beside the usual ones, and whether it turns the request away."""
+    def judge(self, _address, _ident, _now):
+        """Returns additional headers of a response, and whether the request is rejected."""
         return [], False
 
     def turn_bad(self):
-        self._may_be_bad = True
+        self._faults_enabled = True
 
     def arrivals(self, begin, end):
-        """When requests reached these servers between two times."""
+        """Returns the sorted times between `begin` and `end` at which requests reached these
+        servers."""
         return sorted(when for whens in self.runs.values() for when in whens
                       if begin <= when <= end)
 
-    async def _beat(self, name, place, pool):
+    async def _send_heartbeats(self, name, address, pool):
         sequence = 0
         while True:
             sequence += 1
-            body = json.dumps({"service": pool, "address": f"{place}:8080", "zone": self.zone,
+            body = json.dumps({"service": pool, "address": f"{address}:8080", "zone": self.zone,
                                "version": self.version, "slots": 6, "state": self._stage,
                                "sequence": sequence})
             for member in self._rng.sample(self._members, len(self._members)):
@@ -167,23 +178,23 @@
             path = message[0].split()[1]
             ident = message[1].get("x-attempt-id", "")
             now = time.monotonic()
-            fields, turned_away = self.judge(state["place"], ident, now)
+            fields, rejected = self.judge(state["address"], ident, now)
             more = "".join(f"{field}\r\n" for field in fields)
-            if turned_away:
+            if rejected:
                 writer.write((f"HTTP/1.1 503 Full\r\nX-Attempt-Id: {ident}\r\n{more}"
                               "Content-Length: 0\r\n\r\n").encode())
                 continue
-            state["at_work"] += 1
+            state["running"] += 1
             self.runs.setdefault(ident, []).append(now)
-            bad = self._may_be_bad and self._badness.strikes(
-                now - self.begun, path, state["at_work"], self._rng)
-            slow = self._badness.slow if bad else 1.0
-            failed = bad and self._rng.random() < self._badness.fails
-            if failed or (bad and self._badness.slow > 1):
+            bad = self._faults_enabled and self._fault_model.affects(
+                now - self.begun, path, state["running"], self._rng)
+            slow = self._fault_model.slow if bad else 1.0
+            failed = bad and self._rng.random() < self._fault_model.fails
+            if failed or (bad and self._fault_model.slow > 1):
                 self.bad.append(now)
             work = self._work_s * state["speed"] * slow * self._rng.uniform(0.8, 1.3)
             await asyncio.sleep(work)
-            state["at_work"] -= 1
+            state["running"] -= 1
             status = "500 Internal Server Error" if failed else "200 OK"
             body = f"{self.version} {ident}"
             try:
@@ -197,14 +208,14 @@
 
 
 class Callers:
-    """A steady stream of requests to all instances, on connections that stay open until the instance
-    closes them or is gone; counts what came of them."""
+    """Clients that send a steady load to all instances on keep-alive connections and count the
+    outcomes."""
 
     def __init__(self, instances, key, per_s, seed):
-        self.sent = []  # (when, id); the id ends with the number of the instance that got it.
+        self.sent = []  # (time, id); the id ends with the number of the instance.
         self.outcomes = {}  # Status to count.
-        self.wrong = []  # Answers that aren't the caller's own.
-        self.cut = []  # (when it was sent, number of the instance) of requests without an answer.
+        self.wrong = []  # Ids of requests that got the response to another request.
+        self.cut = []  # (time, number of the instance) of requests without a complete response.
         self._key, self._per_s = key, per_s
         self._connections = [Connections(instance.address, CALLERS_PORT) for instance in instances]
         self._rng = random.Random(f"{seed}-callers")
@@ -246,14 +257,14 @@
 
 
 class Operator:
-    """Sends orders to any member, as operators do, until they get a clear answer."""
+    """An operator, who resends each order to random members until a definite response."""
 
     def __init__(self, members, seed):
         self._members = members
         self._rng = random.Random(f"{seed}-operator")
 
     async def ask(self, method, path, body="", limit=5.0):
-        """Status and body of the first clear answer; 0 if none came in time."""
+        """Returns status and body of the first definite response; the status is 0 on a timeout."""
         end = time.monotonic() + limit
         while time.monotonic() < end:
             member = self._rng.choice(self._members)
@@ -277,7 +288,7 @@
         return (await self.ask(method, f"/-/evacuations/{zone}", limit=limit))[0]
 
     async def lose_answer(self, method, path):
-        """Sends an order to one member and doesn't wait for what it says."""
+        """Sends an order to one member and closes the connection without reading the response."""
         member = self._rng.choice(self._members)
         try:
             _, writer = await asyncio.open_connection(member.address, CONTROL_PORT)
@@ -286,4 +297,4 @@
             await writer.drain()
             writer.close()
         except OSError:
-            pass  # A member that is gone took no order either.
+            pass  # A member that is down has not received the order.
