--- a/packages/forward/src/backend_call.cc
+++ b/packages/forward/src/backend_call.cc
@@ -15,7 +15,7 @@
 constexpr std::uint64_t kConnectMillis = 300;
 constexpr std::uint64_t kExpiryMillis = 250;
 // With bytes unacknowledged for this long, the server's machine is unreachable.
-constexpr Duration kDeadPeerTimeout{1'500'000};
+constexpr Duration kServerAckTimeout{1'500'000};
 // Used if a server doesn't state its idle timeout.
 constexpr Duration kDefaultIdleLimit{3'000'000};
 constexpr Duration kIdleMargin{400'000};  // Keeps a request from crossing the server's own close.
@@ -227,7 +227,7 @@
     return;
   }
   self->m_connect_time = ReadClock() - self->m_connect_begun;
-  SetDeadPeerTimeout(h2o_socket_get_fd(socket), kDeadPeerTimeout);
+  SetDeadPeerTimeout(h2o_socket_get_fd(socket), kServerAckTimeout);
   if (!self->m_detached && self->m_events.m_may_send())
     self->Send();
   else
