--- a/apps/poppywayd/member_document.cc
+++ b/apps/poppywayd/member_document.cc
@@ -115,7 +115,7 @@
     ReplyAll(order.m_replies, Done());
   else
     ReplyAll(order.m_replies,
-             ErrorBody(ResultCode::kVersionConflict, "another version was accepted first"));
+             ErrorBody(ResultCode::kVersionConflict, "another version was accepted meanwhile"));
   if (!m_waiting_document)
     return;
   const DocumentOrder waiting = std::exchange(m_waiting_document, std::nullopt).value();
--- a/apps/poppywayd/member_service.cc
+++ b/apps/poppywayd/member_service.cc
@@ -394,7 +394,7 @@
 
 void MemberService::OnPropose(const wire::Propose& propose, const ReplyFn& reply) {
   if (m_disk_full) {
-    reply(ErrorBody(ResultCode::kDiskFull, "this member's disk is full"));
+    reply(ErrorBody(ResultCode::kDiskFull, "this member's disk has no room"));
     return;
   }
   LogEffects effects;
--- a/packages/state/src/document_history.cc
+++ b/packages/state/src/document_history.cc
@@ -74,15 +74,15 @@
 Result<wire::Document> PatchDocument(const wire::Document& base,
                                      const wire::DocumentChange& change) {
   if (change.base != 0 && change.base != base.version)
-    return Fail(ResultCode::kVersionConflict,
-                "a change from version " + std::to_string(change.base) + " of the document, not " +
-                    std::to_string(base.version));
+    return Fail(ResultCode::kVersionConflict, "a step from version " + std::to_string(change.base) +
+                                                  " of the document, not " +
+                                                  std::to_string(base.version));
   const std::string_view text = change.base == 0 ? std::string_view() : base.body;
   Result<std::string> body = ApplyEdits(text, change.edits, kMaxDocumentBytes);
   if (!body)
     return tl::unexpected<Error>(body.error());
   if (DigestOf(*body) != change.digest)
-    return Fail(ResultCode::kPeerProtocol, "the edits lead to a document with another digest");
+    return Fail(ResultCode::kPeerProtocol, "edits that lead to another text");
   wire::Document document;
   document.version = change.version;
   document.body = std::move(*body);
--- a/packages/state/src/text_edits.cc
+++ b/packages/state/src/text_edits.cc
@@ -186,7 +186,7 @@
   text.reserve(std::min(most, base.size() + bytes->size()));
   for (const wire::TextEdit& edit : list->edits) {
     if (!AppendEdit(text, base, edit, most))
-      return Fail(ResultCode::kPeerProtocol, "the edits don't fit the base text");
+      return Fail(ResultCode::kPeerProtocol, "edits that don't fit the text they are for");
   }
   return text;
 }
