--- a/packages/wire/src/packed.cc
+++ b/packages/wire/src/packed.cc
@@ -68,8 +68,7 @@
   const bool complete = result == Z_STREAM_END && stream.avail_in == 0 && size <= max_bytes;
   inflateEnd(&stream);
   if (!complete)
-    return Fail(ResultCode::kPeerProtocol,
-                "compressed bytes are incomplete, have trailing bytes or exceed the size limit");
+    return Fail(ResultCode::kPeerProtocol, "packed bytes that aren't whole or hold too much");
   out.resize(size);
   return out;
 }
--- a/packages/wire/src/peer_client.cc
+++ b/packages/wire/src/peer_client.cc
@@ -138,7 +138,7 @@
   h2o_socket_close(m_connecting);
   m_connecting = nullptr;
   m_unsent.clear();
-  FailAll({ResultCode::kPeerUnreachable, "connection attempt timed out"});
+  FailAll({ResultCode::kPeerUnreachable, "no connection in time"});
 }
 
 bool PeerClient::ExpireCalls() {
@@ -154,7 +154,7 @@
     it = m_pending_calls.erase(it);
   }
   for (OnReply& on_reply : expired)
-    on_reply(Fail(ResultCode::kPeerUnreachable, "no reply before the timeout"));
+    on_reply(Fail(ResultCode::kPeerUnreachable, "no reply in time"));
   return !m_pending_calls.empty() || m_connecting != nullptr;
 }
 
