--- a/apps/poppywayd/member_service.h
+++ b/apps/poppywayd/member_service.h
@@ -38,7 +38,11 @@
   /// Advances elections and proposals, retries a full disk and responds to polls that are due.
   void Tick(Instant now);
 
+  /// Handles a message of another member's replicated log.
   void OnLogMessage(const wire::LogMessage& message);
+  /// Handles another member's introduction. A blank member notes it for the first start; the leader
+  /// notes a blank or unknown member as one that joins. Replies with this member's own
+  /// introduction.
   void OnHello(const wire::Hello& hello, const ReplyFn& reply);
   /// Proposes commands. Replies once every command is committed and applied, or with an error.
   void OnPropose(const wire::Propose& propose, const ReplyFn& reply);
--- a/packages/forward/include/poppyway/forward/impl/forwarder.h
+++ b/packages/forward/include/poppyway/forward/impl/forwarder.h
@@ -127,7 +127,9 @@
   bool m_servers_restarted = false;  ///< Calls to servers that have restarted since may be active.
 };
 
-/// \brief The forwarder task. All members must be called on the thread of its event loop.
+/// \brief The forwarder task: accepts callers' requests and sends each to a backend server of its
+/// route's pool, in a hosted deployment (`poppywayd --hosted`). All members must be called on the
+/// thread of its event loop.
 class Forwarder {
  public:
   Forwarder(EventLoop& loop, const ForwarderSettings& settings, ProtocolAdapter adapter);
--- a/packages/forward/include/poppyway/forward/impl/forwarding.h
+++ b/packages/forward/include/poppyway/forward/impl/forwarding.h
@@ -68,10 +68,10 @@
   const Route* m_route = nullptr;
   const Workspace* m_workspace = nullptr;
   const Pool* m_pool = nullptr;
-  Tier m_tier = 0;
+  Tier m_tier = 0;  ///< The workspace's tier, or the route's if the workspace has none.
   Instant m_arrived{};
   Instant m_deadline{};              ///< The earlier of the caller's and the route's timeout.
-  int m_length_class = 0;            ///< Doublings of the expected response length above the mean.
+  int m_length_class = 0;            ///< Length of the expected response; see `LengthClass`.
   Instant m_wait_until{};            ///< A queued request is rejected after this time.
   std::vector<std::string> m_tried;  ///< Servers that were sent a byte or whose slot was returned.
   int m_attempts = 0;                ///< Number of calls that sent a byte.
--- a/packages/forward/src/forwarder.cc
+++ b/packages/forward/src/forwarder.cc
@@ -12,7 +12,7 @@
 // Timer intervals with and without queued or held requests.
 constexpr std::uint64_t kBusyTickMillis = 10;
 constexpr std::uint64_t kIdleTickMillis = 50;
-// Work for a disconnected caller must stop within 0.5 s.
+// Interval between checks for disconnected callers, whose work must stop within 0.5 s.
 constexpr Duration kCallerPollInterval{100'000};
 constexpr std::uint64_t kCallerIdleMillis = 120'000;
 constexpr std::size_t kMaxBody = 16 << 20;
--- a/packages/gateway/include/poppyway/gateway/impl/gateway.h
+++ b/packages/gateway/include/poppyway/gateway/impl/gateway.h
@@ -26,7 +26,7 @@
   std::string m_incarnation;
   std::function<void(GatewayMessage)> m_to_control;
   std::shared_ptr<const Catalogue> m_catalogue;
-  bool m_fresh = false;
+  bool m_fresh = false;  ///< The value of the last `ConfigFreshness`.
   bool m_stopping = false;
   Instant m_refuse_from{};  ///< A stopping gateway refuses requests that arrive from this time on.
   bool m_drained_reported = false;
--- a/packages/log/include/poppyway/log/impl/log_node.h
+++ b/packages/log/include/poppyway/log/impl/log_node.h
@@ -126,7 +126,7 @@
 
 /// \brief Records that the save which `BeginLogSave` began has succeeded. A leader counts its own
 /// log towards a majority only up to the last index that was saved.
-/// \return the entries that this commits.
+/// \return effects with the entries that this commits.
 [[nodiscard]] LogEffects FinishLogSave(LogNode& node);
 
 /// \brief Records that the save which `BeginLogSave` began has failed: nothing of it is durable.
--- a/packages/log/src/record.h
+++ b/packages/log/src/record.h
@@ -16,7 +16,8 @@
   kHardState = 1,  ///< The term and vote.
   kEntry = 2,      ///< A log entry.
   kTruncate = 3,   ///< The last index to keep.
-  kBase = 4,       ///< The index of the snapshot that the segment follows, or the snapshot itself.
+  /// In a segment the index of the snapshot that it follows, in a snapshot file the snapshot.
+  kBase = 4,
 };
 
 /// \brief One record read from a segment.
--- a/packages/policy/include/poppyway/policy/impl/outage_detector.h
+++ b/packages/policy/include/poppyway/policy/impl/outage_detector.h
@@ -40,7 +40,7 @@
   Instant m_last_failure{};   ///< Last time that a server was reported unreachable.
   bool m_suspect = false;     ///< The data centre is presumed lost as a whole.
   Instant m_since{};          ///< When the suspicion began.
-  std::map<std::string, Instant> m_recovered;       ///< First responses since the suspicion began.
+  std::map<std::string, Instant> m_recovered;       ///< By server: first response since `m_since`.
   std::set<std::string> m_registered;               ///< Servers that registered anew since then.
   std::map<std::string, Instant> m_probes;          ///< Servers being probed, with the probe's end.
   std::map<std::string, Instant> m_probe_backoffs;  ///< Earliest next probe after a failed one.
--- a/packages/policy/include/poppyway/policy/impl/pool_client.h
+++ b/packages/policy/include/poppyway/policy/impl/pool_client.h
@@ -39,7 +39,7 @@
   Instant m_unanswered_since{};  ///< Time of the oldest demand without a response; zero if none.
   Instant m_fair_share_from{};   ///< Fair share applies from here unless the broker responds.
   std::vector<Credit> m_unreported;  ///< Dispatches by fair share not yet reported to a broker.
-  std::map<std::string, ServiceEstimate> m_service;  ///< By event.
+  std::map<std::string, ServiceEstimate> m_service;  ///< By name of the configured event.
   RetryBudget m_retries;
 };
 
@@ -83,7 +83,8 @@
                                                       const std::vector<std::string>& engines,
                                                       Instant now);
 
-/// \brief Applies a message of the broker, whose credits may be spent until `lease_end`.
+/// \brief Applies a message of the broker, whose credits may be used until `lease_end`.
+/// \return the requests to dispatch with these credits and the requests to reject.
 [[nodiscard]] PoolActions HandleGrants(PoolClient& pool,
                                        const GrantBatch& batch,
                                        Instant lease_end,
@@ -104,7 +105,9 @@
                                                      Duration lease,
                                                      Instant now);
 
-/// \brief Records a use of a credit, to be reported to the broker.
+/// \brief Records that the use of a credit has reached a stage. The next demand reports it to the
+/// broker.
+/// \param elapsed time from the dispatch to this stage.
 void RecordUse(PoolClient& pool, const Credit& credit, UseStage stage, Duration elapsed);
 
 /// \brief Records the end of a dispatch.
--- a/packages/policy/include/poppyway/policy/impl/rollout_trial.h
+++ b/packages/policy/include/poppyway/policy/impl/rollout_trial.h
@@ -60,8 +60,9 @@
   kTooLittle,  ///< Too few responses to decide.
   kDoubtful,   ///< Neither good nor bad.
   kGood,
-  kFails,  ///< It fails more often than the other versions.
-  kSlow,   ///< It is slower than the other versions.
+  /// It fails more often than the other versions, or was still in doubt at a review.
+  kFails,
+  kSlow,  ///< It is slower than the other versions.
 };
 
 /// \brief Returns the finding's name in logs.
--- a/packages/policy/include/poppyway/policy/impl/server_choice.h
+++ b/packages/policy/include/poppyway/policy/impl/server_choice.h
@@ -38,13 +38,14 @@
 /// \brief The properties of a request that decide which server it goes to.
 struct RequestShape {
   Tier m_tier = 0;
-  bool m_yields_to_higher_priority = false;  ///< A more urgent request waits for a slot.
-  std::int64_t m_prompt_tokens = 0;          ///< Zero for plain services.
-  Duration m_latency_target{};  ///< Target for the first event, or for a plain response.
-  Duration m_waited{};          ///< Part of the target that has already passed.
-  Duration m_gap_target{};      ///< Maximum pause between events; zero: not a stream.
-  double m_events = 0;          ///< Events expected in the response; zero if unknown.
-  Duration m_left{};            ///< Time until its deadline; zero: none.
+  /// A request of a higher tier waits, so this one may not take a server's last slots.
+  bool m_yields_to_higher_priority = false;
+  std::int64_t m_prompt_tokens = 0;  ///< Zero for plain services.
+  Duration m_latency_target{};       ///< Target for the first event, or for a plain response.
+  Duration m_waited{};               ///< Part of the target that has already passed.
+  Duration m_gap_target{};           ///< Maximum pause between events; zero: not a stream.
+  double m_events = 0;               ///< Events expected in the response; zero if unknown.
+  Duration m_left{};                 ///< Time until its deadline; zero: none.
 
   friend bool operator==(const RequestShape&, const RequestShape&) = default;
 };
--- a/packages/policy/src/server_choice.cc
+++ b/packages/policy/src/server_choice.cc
@@ -24,7 +24,8 @@
 constexpr double kTargetShare = 0.85;
 // Share of the target that others may take ahead of a prompt that is late anyway.
 constexpr double kAheadShare = 0.3;
-// Share of a server's slots that a yielding request may fill up to.
+// A request that yields to one of a higher tier gets no slot at a server where this share of the
+// slots is taken.
 constexpr double kYieldShare = 0.85;
 constexpr double kEventGain = 0.1;  // Averages about ten streams, with the load beside them.
 // With the gain below, tracks the longest pause of five streams in six.
--- a/packages/policy/src/slot_internal.h
+++ b/packages/policy/src/slot_internal.h
@@ -85,8 +85,8 @@
 [[nodiscard]] ServingGroup ServingGroupOf(const SlotPool& pool);
 /// \brief Returns true if server `i` is not in the group.
 [[nodiscard]] bool IsExcludedByRollout(const SlotPool& pool, ServingGroup group, std::size_t i);
-/// \brief Returns a server of the target version for the request if the trial wants the request and
-/// a server has a free slot.
+/// \brief Returns the index of a server of the target version that has a free slot for the request;
+/// nullopt if there is none or the roll-out's trial may not be sent the request.
 /// Precondition: `SetViews` was called for the request.
 [[nodiscard]] std::optional<std::size_t> ChooseTrialServer(const OutageDetector& outages,
                                                            const SlotPool& pool,
