--- a/apps/poppyway/command.cc
+++ b/apps/poppyway/command.cc
@@ -61,7 +61,7 @@
   return kExitFailed;
 }
 
-Result<wire::ObjectsReply> FetchObjects(const CommonOptions& common, bool history) {
+Result<wire::ObjectsReply> FetchDeclarations(const CommonOptions& common, bool history) {
   wire::ObjectsRequest request;
   request.history = history;
   wire::Body body;
--- a/apps/poppyway/command.h
+++ b/apps/poppyway/command.h
@@ -52,7 +52,8 @@
 int PrintError(const Error& error);
 /// \brief Fetches all declarations in force from the leader.
 /// \param history whether the reply includes the accepted changes.
-[[nodiscard]] Result<wire::ObjectsReply> FetchObjects(const CommonOptions& common, bool history);
+[[nodiscard]] Result<wire::ObjectsReply> FetchDeclarations(const CommonOptions& common,
+                                                           bool history);
 /// \brief Fetches the cluster's status from the leader.
 [[nodiscard]] Result<wire::StatusReply> FetchStatus(const CommonOptions& common);
 /// \brief Parses a command's options into `given`. Prints the help text if it is requested, or an
--- a/apps/poppyway/configure.cc
+++ b/apps/poppyway/configure.cc
@@ -140,7 +140,7 @@
   const Result<std::vector<DeclarationText>> wanted = LoadAll(paths);
   if (!wanted)
     return PrintError(wanted.error());
-  const Result<wire::ObjectsReply> present = FetchObjects(common, false);
+  const Result<wire::ObjectsReply> present = FetchDeclarations(common, false);
   if (!present)
     return PrintError(present.error());
   const ChangeSet changes = Compare(present->objects, *wanted, given.contains("prune"));
@@ -192,7 +192,7 @@
   const Result<std::vector<DeclarationText>> wanted = LoadAll(paths);
   if (!wanted)
     return PrintError(wanted.error());
-  const Result<wire::ObjectsReply> present = FetchObjects(common, false);
+  const Result<wire::ObjectsReply> present = FetchDeclarations(common, false);
   if (!present)
     return PrintError(present.error());
   const ChangeSet changes = Compare(present->objects, *wanted, given.contains("prune"));
@@ -208,7 +208,7 @@
   int exit_code = kExitOk;
   if (!ParseArguments(options, "what", arguments, given, exit_code))
     return exit_code;
-  const Result<wire::ObjectsReply> present = FetchObjects(common, false);
+  const Result<wire::ObjectsReply> present = FetchDeclarations(common, false);
   if (!present)
     return PrintError(present.error());
   bool found = false;
@@ -234,7 +234,7 @@
   int exit_code = kExitOk;
   if (!ParseArguments(options, nullptr, arguments, given, exit_code))
     return exit_code;
-  const Result<wire::ObjectsReply> present = FetchObjects(common, true);
+  const Result<wire::ObjectsReply> present = FetchDeclarations(common, true);
   if (!present)
     return PrintError(present.error());
   json rows = json::array();
--- a/apps/poppyway/load.cc
+++ b/apps/poppyway/load.cc
@@ -24,7 +24,7 @@
 
 json ToJson(const LoadClass& load, const ClassResult& result) {
   json refused = json::object();
-  for (const auto& [code, count] : result.m_refused)
+  for (const auto& [code, count] : result.m_rejections)
     refused[std::to_string(code)] = count;
   return {{"class", load.m_name},
           {"tier", load.m_tier},
@@ -34,7 +34,7 @@
           {"wrong", result.m_wrong},
           {"cut", result.m_cut},
           {"cut_reasons", result.m_cut_reasons},
-          {"bad_refusals", result.m_bad_refusals},
+          {"bad_refusals", result.m_bad_rejections},
           {"refused", refused},
           {"first_token_ms",
            {{"p50", Millis(result.m_first_token.Quantile(0.5))},
@@ -55,7 +55,7 @@
             << result.m_late << std::setw(7) << result.m_wrong << std::setw(6) << result.m_cut
             << std::setw(11) << Millis(result.m_first_token.Quantile(0.5)) << std::setw(10)
             << Millis(result.m_first_token.Quantile(0.95));
-  for (const auto& [code, count] : result.m_refused)
+  for (const auto& [code, count] : result.m_rejections)
     std::cout << "  " << ResultInfoOf(static_cast<ResultCode>(code)).m_name << "=" << count;
   std::cout << "\n";
 }
--- a/apps/poppyway/load_runner.cc
+++ b/apps/poppyway/load_runner.cc
@@ -208,13 +208,13 @@
   ClassResult& result = m_results[call.m_request->m_class];
   const std::string code = HeaderValue(call.m_headers, "poppyway-code");
   const int number = code.empty() ? call.m_status : std::atoi(code.c_str());
-  ++result.m_refused[number];
-  result.m_refusal.Record(took);
+  ++result.m_rejections[number];
+  result.m_rejection_time.Record(took);
   const ResultInfo& info = ResultInfoOf(static_cast<ResultCode>(number));
   const bool says_when = !info.m_retry_after || !HeaderValue(call.m_headers, "retry-after").empty();
   const bool complete =
       !code.empty() && !HeaderValue(call.m_headers, "poppyway-run").empty() && says_when;
-  result.m_bad_refusals += complete ? 0 : 1;
+  result.m_bad_rejections += complete ? 0 : 1;
 }
 
 void LoadRunner::Finish(Call& call, const std::string& failure) {
--- a/apps/poppyway/load_runner.h
+++ b/apps/poppyway/load_runner.h
@@ -23,11 +23,11 @@
   std::int64_t m_wrong = 0;  ///< Status 200 with a body that isn't this request's response.
   std::int64_t m_cut = 0;    ///< The response was truncated or missing.
   std::map<std::string, std::int64_t> m_cut_reasons;
-  std::int64_t m_bad_refusals = 0;        ///< Rejections without code, run state or Retry-After.
-  std::map<int, std::int64_t> m_refused;  ///< Rejections by result code.
+  std::int64_t m_bad_rejections = 0;         ///< Rejections without code, run state or Retry-After.
+  std::map<int, std::int64_t> m_rejections;  ///< By result code, or else HTTP status.
   DurationHistogram m_first_token;
   DurationHistogram m_total;
-  DurationHistogram m_refusal;  ///< Time to a rejection.
+  DurationHistogram m_rejection_time;  ///< Time to a rejection.
 };
 
 /// \brief Settings of a run.
--- a/apps/poppyway/operate.cc
+++ b/apps/poppyway/operate.cc
@@ -130,7 +130,7 @@
 }
 
 int DrainServer(const CommonOptions& common, const std::string& name, bool undo) {
-  const Result<wire::ObjectsReply> present = FetchObjects(common, false);
+  const Result<wire::ObjectsReply> present = FetchDeclarations(common, false);
   if (!present)
     return PrintError(present.error());
   for (const wire::ObjectText& object : present->objects) {
--- a/apps/poppywayd/control_server.cc
+++ b/apps/poppywayd/control_server.cc
@@ -91,17 +91,18 @@
 bool ControlServer::MayLogRejected(Instant now) {
   if (now - m_log_interval_start >= kLogInterval) {
     m_log_interval_start = now;
-    m_log_lines = 0;
+    m_rejected_in_interval = 0;
   }
-  return ++m_log_lines <= kMaxLogLines;
+  return ++m_rejected_in_interval <= kMaxLogLines;
 }
 
 void ControlServer::AddMetrics(MetricSet& metrics) const {
-  for (std::size_t i = 0; i < m_rejected.size(); ++i) {
+  for (std::size_t i = 0; i < m_rejected_heartbeats.size(); ++i) {
     const auto heartbeat_error = static_cast<platform::HeartbeatError>(i);
     const std::string label =
         "reason=\"" + std::string(platform::HeartbeatErrorName(heartbeat_error)) + "\"";
-    metrics.Set("poppyway_heartbeats_refused_total", label, static_cast<double>(m_rejected[i]));
+    metrics.Set("poppyway_heartbeats_refused_total", label,
+                static_cast<double>(m_rejected_heartbeats[i]));
   }
 }
 
@@ -116,7 +117,7 @@
     const platform::ControlResponse answer = platform::EncodeControlError(call.error());
     const auto heartbeat_error = platform::FindHeartbeatError(method, target, body);
     if (heartbeat_error)
-      ++m_rejected[static_cast<std::size_t>(*heartbeat_error)];
+      ++m_rejected_heartbeats[static_cast<std::size_t>(*heartbeat_error)];
     if (!heartbeat_error || MayLogRejected(started))
       POPPYWAY_LOG(warning, "call_refused")
           .Field("target", target.substr(0, kMaxLoggedTargetBytes))
--- a/apps/poppywayd/control_server.h
+++ b/apps/poppywayd/control_server.h
@@ -25,15 +25,16 @@
 
  private:
   void OnRequest(h2o_req_t* req);
-  /// Counts a log line on a rejected heartbeat; returns false if the interval's limit is exceeded.
+  /// Counts a rejected heartbeat; returns false if the interval's limit of log lines is exceeded.
   [[nodiscard]] bool MayLogRejected(Instant now);
 
   Endpoint m_endpoint;
   MemberService& m_member;
   HttpServer m_server;
-  std::array<std::uint64_t, platform::kHeartbeatErrorCount> m_rejected{};  ///< By error.
+  /// Number of rejected heartbeats, by `HeartbeatError`.
+  std::array<std::uint64_t, platform::kHeartbeatErrorCount> m_rejected_heartbeats{};
   Instant m_log_interval_start{};
-  int m_log_lines = 0;  ///< Log lines since `m_log_interval_start`.
+  int m_rejected_in_interval = 0;  ///< Heartbeats, logged or not.
 };
 
 }  // namespace poppyway
--- a/apps/poppywayd/instance_agent.cc
+++ b/apps/poppywayd/instance_agent.cc
@@ -95,8 +95,8 @@
                 (m_last_contact != Instant{} && m_version > 0 && m_version >= m_leader_version);
   const bool fresh =
       m_caught_up && now - m_last_contact < std::chrono::milliseconds(m_settings.m_stale_after_ms);
-  if (fresh != m_fresh) {
-    m_fresh = fresh;
+  if (fresh != m_configuration_fresh) {
+    m_configuration_fresh = fresh;
     POPPYWAY_LOG(info, "freshness").Field("fresh", fresh).Field("version", m_version);
     m_to_gateway(ConfigFreshness{fresh});
   }
@@ -117,7 +117,7 @@
   heartbeat.port = m_settings.m_peer.m_port;
   heartbeat.data_centre = m_settings.m_data_centre;
   heartbeat.version_in_force = m_version;
-  heartbeat.ready = m_fresh && !m_stopping;
+  heartbeat.ready = m_configuration_fresh && !m_stopping;
   heartbeat.stopping = m_stopping;
   heartbeat.http = ToText(m_settings.m_http);
   heartbeat.leases_seen = m_leases_seen;
@@ -232,7 +232,7 @@
     return;
   Result<Catalogue> catalogue = BuildCatalogue(m_declarations, m_version);
   if (!catalogue) {
-    // Members accept only configurations that compile, so this is a defect of the program.
+    // Members accept only configurations that a catalogue can be built from, so this is a bug.
     POPPYWAY_LOG(error, "configuration_unusable").Field("why", catalogue.error().m_message);
     return;
   }
@@ -447,7 +447,7 @@
 
 void InstanceAgent::AddMetrics(MetricSet& metrics) const {
   metrics.Set("poppyway_version_in_force", "", static_cast<double>(m_version));
-  metrics.Set("poppyway_fresh", "", m_fresh ? 1 : 0);
+  metrics.Set("poppyway_fresh", "", m_configuration_fresh ? 1 : 0);
   metrics.Set("poppyway_ledger_claims", "", static_cast<double>(m_claims));
   metrics.Set("poppyway_ledger_claims_unavailable", "", static_cast<double>(m_claims_unavailable));
   metrics.Set("poppyway_leader_calls_failed", "", static_cast<double>(m_leader_calls_failed));
--- a/apps/poppywayd/instance_agent.h
+++ b/apps/poppywayd/instance_agent.h
@@ -34,7 +34,8 @@
 
   /// Sends updates to the forwarder instead of the gateway. Hosted deployments only.
   void SetForwarder(ForwarderPort port) { m_forwarder = std::move(port); }
-  /// Returns the port over which the forwarder reaches the slot broker. Hosted deployments only.
+  /// Creates the object through which the forwarder sends slot requests to the slot broker. Hosted
+  /// deployments only.
   [[nodiscard]] BrokerPort MakeSlotBrokerPort();
   /// Adds addresses at which members can be reached.
   void AddSeeds(const std::vector<MemberSettings>& seeds);
@@ -129,10 +130,11 @@
   ForwarderPort m_forwarder;
   std::vector<std::unique_ptr<PeerClient>> m_members;
   std::vector<Endpoint> m_member_endpoints;  ///< Endpoint of each of `m_members`.
-  std::vector<PollSource> m_sources;         ///< Poll source of each of `m_members`.
-  std::int64_t m_members_digest = 0;         ///< Digest of the members that a leader last listed.
-  std::size_t m_leader = 0;                  ///< Index of the presumed leader.
-  std::size_t m_poll_member = 0;             ///< Index of the member that is polled.
+  /// For each of `m_members`, its data centre and until when it isn't polled.
+  std::vector<PollSource> m_sources;
+  std::int64_t m_members_digest = 0;  ///< Digest of the members that a leader last listed.
+  std::size_t m_leader = 0;           ///< Index of the presumed leader.
+  std::size_t m_poll_member = 0;      ///< Index of the member that is polled.
   bool m_polling = false;
   std::unique_ptr<HostedStatePoller> m_poller;  ///< Null unless the deployment is hosted.
   std::int64_t m_leader_document = 0;   ///< Highest document version that a leader reported.
@@ -147,11 +149,12 @@
   Instant m_last_contact{};           ///< Send time of the last answered heartbeat.
   std::int64_t m_leader_version = 0;  ///< Highest configuration version that a leader reported.
   bool m_caught_up = false;           ///< That version or a later one has been in force here.
-  bool m_fresh = false;
+  /// Caught up, and the last contact is recent enough to report this instance as ready.
+  bool m_configuration_fresh = false;
   bool m_stopping = false;
   bool m_drained = false;
-  std::int64_t m_version = 0;
-  ParsedDeclarations m_declarations;
+  std::int64_t m_version = 0;              ///< Version of `m_declarations`.
+  ParsedDeclarations m_declarations;       ///< Last configuration received from a member.
   std::vector<wire::LeaseGrant> m_leases;  ///< Leases that the leader last listed.
   std::int64_t m_leases_seen = 0;          ///< Log index of that list.
   std::deque<QueuedCommand> m_commands;
--- a/apps/poppywayd/slot_broker_service.cc
+++ b/apps/poppywayd/slot_broker_service.cc
@@ -250,7 +250,7 @@
   Send(answers);
 }
 
-void SlotBrokerService::SendOutages() {
+void SlotBrokerService::SendSuspectDataCentres() {
   wire::PlaceAnswers update;
   update.epoch = epoch();
   std::vector<std::string> suspects;
@@ -288,7 +288,7 @@
         .Field("after_ms", event.m_silence.count() / 1000);
   }
   m_broker->m_outage_events.clear();
-  SendOutages();
+  SendSuspectDataCentres();
 }
 
 void SlotBrokerService::Tick(Instant now) {
--- a/apps/poppywayd/slot_broker_service.h
+++ b/apps/poppywayd/slot_broker_service.h
@@ -77,8 +77,9 @@
   void Send(const std::vector<SlotResponse>& answers);
   /// Removes the instances whose connection is lost or whose last contact is too long ago.
   void RemoveGoneInstances(Instant now);
-  /// Sends the list of suspect data centres to all instances.
-  void SendOutages();
+  /// Sends all instances the list of data centres that are presumed lost and of which no server has
+  /// responded since.
+  void SendSuspectDataCentres();
   void LogOutages();
   void LogPools(Instant now);
   void LogCold(Instant now);
--- a/packages/forward/src/backends.cc
+++ b/packages/forward/src/backends.cc
@@ -195,7 +195,7 @@
   bool any = false;
   for (const std::string& id : ids) {
     const Backend& backend = state.m_backends.at(id);
-    const IneligibleReason reason = CheckServerEligibility(state, forwarding, backend, now);
+    const IneligibleReason reason = CheckEligibilityOnChoice(state, forwarding, backend, now);
     views.push_back(ViewOf(state, forwarding, backend, trips));
     views.back().m_usable = reason == IneligibleReason::kNone;
     // A cold server at its limit counts as in use, unless it is suspect as well.
--- a/packages/forward/src/eligibility.cc
+++ b/packages/forward/src/eligibility.cc
@@ -23,8 +23,9 @@
   return inputs;
 }
 
-/// Returns the reason against a server. `held_back`: whether a roll-out holds the server back.
-IneligibleReason EligibilityIf(const ForwarderState& state,
+/// Returns the reason of the policy (`CheckEligibility`) against a server that this instance would
+/// choose, or `kNone`. `held_back`: whether a roll-out holds the server back.
+IneligibleReason ReasonAgainst(const ForwarderState& state,
                                const Forwarding& forwarding,
                                const Backend& backend,
                                bool held_back,
@@ -47,19 +48,19 @@
                         Instant now) {
   if (backend.m_record.held_back)
     return false;
-  const IneligibleReason reason = EligibilityIf(state, forwarding, backend, false, now);
+  const IneligibleReason reason = ReasonAgainst(state, forwarding, backend, false, now);
   return reason != IneligibleReason::kLeaving && reason != IneligibleReason::kEvacuated &&
          reason != IneligibleReason::kOutsideHome;
 }
 
 }  // namespace
 
-IneligibleReason CheckServerEligibility(const ForwarderState& state,
-                                        const Forwarding& forwarding,
-                                        const Backend& backend,
-                                        Instant now) {
+IneligibleReason CheckEligibilityOnChoice(const ForwarderState& state,
+                                          const Forwarding& forwarding,
+                                          const Backend& backend,
+                                          Instant now) {
   // Only the broker sends requests to a version on trial, since it counts them.
-  return EligibilityIf(state, forwarding, backend, backend.m_record.held_back, now);
+  return ReasonAgainst(state, forwarding, backend, backend.m_record.held_back, now);
 }
 
 IneligibleReason CheckEligibilityOnSend(const ForwarderState& state,
@@ -88,7 +89,7 @@
   for (std::size_t i = 0; i < ids.size(); ++i) {
     const Backend& backend = state.m_backends.at(ids[i]);
     const bool held_back = backend.m_record.held_back && any_works;
-    const IneligibleReason reason = EligibilityIf(state, forwarding, backend, held_back, now);
+    const IneligibleReason reason = ReasonAgainst(state, forwarding, backend, held_back, now);
     views[i].m_usable = reason == IneligibleReason::kNone || reason == IneligibleReason::kSuspect;
   }
 }
--- a/packages/forward/src/homes.cc
+++ b/packages/forward/src/homes.cc
@@ -120,8 +120,8 @@
   const std::vector<std::string>& servers = pool->second.m_servers;
   return std::none_of(servers.begin(), servers.end(), [&](const std::string& id) {
     const std::string& data_centre = state.m_backends.at(id).m_record.data_centre;
-    return IsInHomeRegion(forwarding.m_home_regions,
-                          RegionOf(state.m_settings.m_regions, data_centre));
+    return AllowsRegion(forwarding.m_home_regions,
+                        RegionOf(state.m_settings.m_regions, data_centre));
   });
 }
 
--- a/packages/forward/src/route_table.cc
+++ b/packages/forward/src/route_table.cc
@@ -139,7 +139,7 @@
   HomeRegions common;
   common.m_restricted = true;
   for (const std::string& region : route.m_regions) {
-    if (IsInHomeRegion(workspace, region))
+    if (AllowsRegion(workspace, region))
       common.m_regions.push_back(region);
   }
   return common;
--- a/packages/forward/src/server_notice.cc
+++ b/packages/forward/src/server_notice.cc
@@ -25,9 +25,10 @@
   return notice;
 }
 
-/// Sends a server's notice to the broker. Without it, the broker would assign more slots there,
-/// each of which costs a request a round trip to the broker. Slots that are already assigned are
-/// returned by `CheckEligibilityOnSend`, the check before the first byte is sent.
+/// Tells the broker that a server is leaving or backs off; does nothing without a broker. Otherwise
+/// the broker would assign more slots there, each of which costs a request a round trip to the
+/// broker. A slot that is already assigned goes back to the broker when `CheckEligibilityOnSend`
+/// finds the server ineligible before the first byte is sent.
 void NotifyBroker(ForwarderState& state, const Backend& backend, Instant now) {
   if (!state.m_broker.m_active)
     return;
@@ -113,7 +114,7 @@
     return std::nullopt;
   const std::vector<std::string>& ids = pool->second.m_servers;
   const auto reason_of = [&](std::size_t i) {
-    return CheckServerEligibility(state, forwarding, state.m_backends.at(ids[i]), now);
+    return CheckEligibilityOnChoice(state, forwarding, state.m_backends.at(ids[i]), now);
   };
   const auto left_of = [&](std::size_t i) {
     return state.m_backends.at(ids[i]).m_back_off_until - now;
--- a/packages/forward/src/steps.h
+++ b/packages/forward/src/steps.h
@@ -211,11 +211,12 @@
 void CountEvacuated(ForwarderState& state);
 
 // ---- eligibility.cc ----------------------------------------------------------------------------
-/// Returns why a server may not get a request, if this instance chooses the server itself.
-[[nodiscard]] IneligibleReason CheckServerEligibility(const ForwarderState& state,
-                                                      const Forwarding& forwarding,
-                                                      const Backend& backend,
-                                                      Instant now);
+/// Returns why this instance may not choose a server for a request, or `kNone`. Applies if it
+/// chooses the server itself instead of the broker.
+[[nodiscard]] IneligibleReason CheckEligibilityOnChoice(const ForwarderState& state,
+                                                        const Forwarding& forwarding,
+                                                        const Backend& backend,
+                                                        Instant now);
 /// Returns why a request may not be sent to the server that was chosen for it. Recent failures and
 /// roll-outs don't count here, since the broker may choose such a server on purpose.
 [[nodiscard]] IneligibleReason CheckEligibilityOnSend(const ForwarderState& state,
--- a/packages/gateway/src/account.cc
+++ b/packages/gateway/src/account.cc
@@ -81,7 +81,7 @@
 
 }  // namespace
 
-void Account(GatewayState& state, Exchange& exchange, ResultCode code) {
+void EndExchange(GatewayState& state, Exchange& exchange, ResultCode code) {
   if (exchange.m_stage == Stage::kDone)
     return;
   const Tier tier = TierOf(exchange);
@@ -114,7 +114,7 @@
     // A request with a claimed key runs to its end: its caller may resend it to get the response.
     if (sent && exchange.m_claimed)
       return;
-    Account(state, exchange, sent ? ResultCode::kOutcomeUnknown : ResultCode::kCallerGone);
+    EndExchange(state, exchange, sent ? ResultCode::kOutcomeUnknown : ResultCode::kCallerGone);
   }
   EraseIfDone(state, ref);
 }
--- a/packages/gateway/src/answer.cc
+++ b/packages/gateway/src/answer.cc
@@ -80,7 +80,7 @@
     SendWhole(state, exchange, status, "application/problem+json",
               ProblemJson(exchange, info, detail));
   }
-  Account(state, exchange, code);
+  EndExchange(state, exchange, code);
   EraseIfDone(state, ref);
 }
 
@@ -96,7 +96,7 @@
     SendWhole(state, exchange, answer.status, answer.content_type, answer.body);
   }
   state.m_metrics.Add("poppyway_replays_total");
-  Account(state, exchange, ResultCode::kOk);
+  EndExchange(state, exchange, ResultCode::kOk);
   EraseIfDone(state, ref);
 }
 
--- a/packages/gateway/src/chain.cc
+++ b/packages/gateway/src/chain.cc
@@ -5,7 +5,7 @@
 namespace poppyway::impl {
 
 // The steps of one request in order. After `Dispatch` the callbacks in relay.cc handle the back
-// end's response, and `Account` records the outcome.
+// end's response, and `EndExchange` ends the exchange and records the outcome.
 void RunChain(GatewayState& state, Exchange& exchange) {
   if (CheckRunning(state, exchange) == Verdict::kSuspended)
     return;
--- a/packages/gateway/src/filter_route.cc
+++ b/packages/gateway/src/filter_route.cc
@@ -15,7 +15,7 @@
     exchange.m_credit = *credit;
     return Verdict::kContinue;
   }
-  FlushDemand(state, exchange.m_event->m_pool, pool, now);
+  SendDueDemand(state, exchange.m_event->m_pool, pool, now);
   return Verdict::kSuspended;
 }
 
--- a/packages/gateway/src/filters.h
+++ b/packages/gateway/src/filters.h
@@ -49,9 +49,9 @@
 
 // ---- account.cc ------------------------------------------------------------------------------
 
-/// Records the outcome of an exchange: metrics, log, credit and ledger. Sets its stage to `kDone`;
-/// does nothing if it is `kDone` already.
-void Account(GatewayState& state, Exchange& exchange, ResultCode code);
+/// Ends an exchange and records its outcome: metrics, log, credit and ledger. Sets the stage to
+/// `kDone`; does nothing if it is `kDone` already.
+void EndExchange(GatewayState& state, Exchange& exchange, ResultCode code);
 /// Handles the disposal of the caller's request by h2o: the caller left, or its response was sent.
 /// May destroy `exchange`.
 void OnCallerGone(GatewayState& state, Exchange& exchange);
@@ -76,8 +76,9 @@
 /// Returns the description of an exchange that the policy takes. Precondition: an event has
 /// matched.
 [[nodiscard]] WaitingRequest ToWaiting(const Exchange& exchange);
-/// Sends the demand that is due, if any, to the broker of the pool `name`.
-void FlushDemand(GatewayState& state, const std::string& name, PoolClient& pool, Instant now);
+/// Sends the demand that is due, if any, to the broker of the pool `name`. A demand reports the
+/// waiting requests and the uses of credits.
+void SendDueDemand(GatewayState& state, const std::string& name, PoolClient& pool, Instant now);
 /// Passes grants to the policy, and dispatches and refuses requests as it decides.
 void OnGrants(GatewayState& state, const GrantsReceived& grants);
 /// Refuses waiting requests that can't be served before their deadline, dispatches by standing
--- a/packages/gateway/src/pools.cc
+++ b/packages/gateway/src/pools.cc
@@ -84,7 +84,7 @@
   return usable;
 }
 
-void FlushDemand(GatewayState& state, const std::string& name, PoolClient& pool, Instant now) {
+void SendDueDemand(GatewayState& state, const std::string& name, PoolClient& pool, Instant now) {
   const Duration lease = std::chrono::milliseconds(state.m_settings.m_lease_ms);
   std::optional<GatewayDemand> demand = DueDemand(pool, state.m_incarnation, lease, now);
   if (demand)
@@ -102,7 +102,7 @@
     return BudgetsOf(state, UsableEngines(state, *state.m_exchanges.at(request.m_ref)));
   };
   ApplyActions(state, TickPoolClient(pool, rank, budgets, now));
-  FlushDemand(state, name, pool, now);
+  SendDueDemand(state, name, pool, now);
 }
 
 int RetryAfterSeconds(GatewayState& state, const Exchange& exchange) {
--- a/packages/gateway/src/relay.cc
+++ b/packages/gateway/src/relay.cc
@@ -122,7 +122,7 @@
   }
   Retire(state, *exchange);
   SendChunk(exchange->m_caller, "", true);
-  Account(state, *exchange, ResultCode::kOk);
+  EndExchange(state, *exchange, ResultCode::kOk);
   EraseIfDone(state, ref);
 }
 
--- a/packages/log/src/election.cc
+++ b/packages/log/src/election.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-void Campaign(LogNode& node, bool pre, LogEffects& effects, Instant now) {
+void StartElection(LogNode& node, bool pre, LogEffects& effects, Instant now) {
   node.m_role = pre ? Role::kPreCandidate : Role::kCandidate;
   node.m_leader = 0;
   node.m_votes = {node.m_id};
@@ -48,7 +48,7 @@
   if (node.m_votes.size() < Majority(node.m_membership))
     return;
   if (pre)
-    Campaign(node, false, effects, now);
+    StartElection(node, false, effects, now);
   else
     BecomeLeader(node, effects, now);
 }
@@ -103,7 +103,7 @@
   if (node.m_votes.size() < Majority(node.m_membership))
     return;
   if (pre_vote)
-    Campaign(node, false, effects, now);
+    StartElection(node, false, effects, now);
   else
     BecomeLeader(node, effects, now);
 }
--- a/packages/log/src/log_internal.h
+++ b/packages/log/src/log_internal.h
@@ -42,7 +42,7 @@
 // ---- election.cc -----------------------------------------------------------------------------
 /// \brief Starts a pre-vote (`pre`) or an election, and wins it at once if the node's own vote is a
 /// majority.
-void Campaign(LogNode& node, bool pre, LogEffects& effects, Instant now);
+void StartElection(LogNode& node, bool pre, LogEffects& effects, Instant now);
 void OnVoteRequest(LogNode& node,
                    MemberId from,
                    const wire::VoteRequest& request,
--- a/packages/log/src/log_node.cc
+++ b/packages/log/src/log_node.cc
@@ -145,7 +145,7 @@
   if (node.m_role == Role::kCandidate && node.m_durable_hard != node.m_hard_state)
     ResetElectionTimeout(node, now);
   if (now >= node.m_election_due && IsVoter(node.m_membership, node.m_id))
-    Campaign(node, true, effects, now);
+    StartElection(node, true, effects, now);  // A pre-vote comes before the election itself.
   return effects;
 }
 
--- a/packages/policy/include/poppyway/policy/impl/admission_queue.h
+++ b/packages/policy/include/poppyway/policy/impl/admission_queue.h
@@ -44,9 +44,9 @@
   /// \return the request, or nullptr if it isn't in the queue. The pointer is valid until the
   /// request is removed.
   [[nodiscard]] const WaitingRequest* Find(RequestRef ref) const;
-  /// Returns up to `count` requests in the order of service: tiers from the highest, workspaces
-  /// round-robin.
-  [[nodiscard]] std::vector<const WaitingRequest*> Heads(std::size_t count) const;
+  /// Returns the first `count` requests, or all if there are fewer, in the order of service: tiers
+  /// from the highest, which is 0, and within a tier the workspaces round-robin.
+  [[nodiscard]] std::vector<const WaitingRequest*> FirstToServe(std::size_t count) const;
   /// Returns the newest request of the lowest non-empty tier below `tier`, or nullopt.
   [[nodiscard]] std::optional<RequestRef> LowestBelow(Tier tier) const;
   /// Returns the requests that can't be served before their deadline if serving one takes
--- a/packages/policy/include/poppyway/policy/impl/server_eligibility.h
+++ b/packages/policy/include/poppyway/policy/impl/server_eligibility.h
@@ -55,7 +55,7 @@
 
 /// \brief Returns true if a server in `region` may serve a request with these home regions. A
 /// server of an unknown region may serve only requests that aren't restricted.
-[[nodiscard]] bool IsInHomeRegion(const HomeRegions& homes, std::string_view region) noexcept;
+[[nodiscard]] bool AllowsRegion(const HomeRegions& homes, std::string_view region) noexcept;
 
 /// \brief Returns why a server may not take a request, or `kNone`. The broker, instances without a
 /// broker, retries and resumed streams all decide by this function. Pure and thread-safe.
--- a/packages/policy/include/poppyway/policy/impl/slot_broker.h
+++ b/packages/policy/include/poppyway/policy/impl/slot_broker.h
@@ -73,7 +73,8 @@
   std::int64_t m_expected_tokens = 0;
   Duration m_wait{};  ///< Longest time that the request may wait for a slot.
   std::vector<PromptSegment> m_prompt_segments;
-  std::vector<std::string> m_tried;  ///< Servers that the request must not be sent to.
+  /// Servers that the request was sent to or whose slot was returned; they are excluded.
+  std::vector<std::string> m_tried;
   QuotaRequest m_quota;
   QuotaLimit m_limit;
   HomeRegions m_home_regions;  ///< Regions where the request may be served.
@@ -375,9 +376,11 @@
                        const ServerNotice& notice,
                        Instant now);
 
-/// \brief Forgets all slots and requests of an instance, which then reports its held slots again.
-/// \param instances number of active instances that the sender last knew of.
-void Resync(SlotBroker& broker, const std::string& instance, int instances, Instant now);
+/// \brief Forgets all slots and requests of an instance, which is gone or then reports its held
+/// slots again.
+/// \param instances number of active instances that the sender last knew of; zero if the instance
+/// is gone.
+void ForgetInstance(SlotBroker& broker, const std::string& instance, int instances, Instant now);
 
 /// \brief Applies an instance's report of a workspace's limit.
 void ApplyLimitReport(SlotBroker& broker, const LimitReport& report, Instant now);
--- a/packages/policy/src/admission_queue.cc
+++ b/packages/policy/src/admission_queue.cc
@@ -33,7 +33,7 @@
   return found == m_requests.end() ? nullptr : &found->second;
 }
 
-std::vector<const WaitingRequest*> AdmissionQueue::Heads(std::size_t count) const {
+std::vector<const WaitingRequest*> AdmissionQueue::FirstToServe(std::size_t count) const {
   std::vector<const WaitingRequest*> heads;
   for (const auto& fifos : m_fifos) {
     for (std::size_t depth = 0; heads.size() < count; ++depth) {
--- a/packages/policy/src/pool_client.cc
+++ b/packages/policy/src/pool_client.cc
@@ -57,7 +57,7 @@
                         const BudgetsFn& budgets,
                         Instant now,
                         PoolActions& actions) {
-  for (const WaitingRequest* head : pool.m_queue.Heads(kMaxItems)) {
+  for (const WaitingRequest* head : pool.m_queue.FirstToServe(kMaxItems)) {
     if (pool.m_book.m_pregranted.empty())
       return;
     const RequestRef ref = head->m_ref;
@@ -79,7 +79,7 @@
                          std::uint32_t rank,
                          const BudgetsFn& budgets,
                          PoolActions& actions) {
-  for (const WaitingRequest* head : pool.m_queue.Heads(kMaxItems)) {
+  for (const WaitingRequest* head : pool.m_queue.FirstToServe(kMaxItems)) {
     const RequestRef ref = head->m_ref;
     std::optional<Credit> credit =
         TakeFairShare(pool.m_book, budgets(*head), rank, head->m_prompt_tokens);
@@ -102,7 +102,7 @@
 
 void RejectInfeasible(const PoolClient& pool, Instant now, PoolActions& actions) {
   TierCounts ahead{};
-  for (const WaitingRequest* request : pool.m_queue.Heads(pool.m_queue.size())) {
+  for (const WaitingRequest* request : pool.m_queue.FirstToServe(pool.m_queue.size())) {
     const Duration wait = EstimateWait(pool, request->m_tier, ahead[request->m_tier]++);
     const Duration service =
         pool.m_contended ? EstimateService(pool, request->m_event, 0) : Duration(0);
@@ -249,7 +249,7 @@
   pool.m_unreported.clear();
   if (pool.m_unanswered_since == Instant{})
     pool.m_unanswered_since = now;
-  for (const WaitingRequest* head : pool.m_queue.Heads(kMaxItems))
+  for (const WaitingRequest* head : pool.m_queue.FirstToServe(kMaxItems))
     demand.m_items.push_back(*head);
   demand.m_waiting = pool.m_queue.counts();
   demand.m_uses = std::move(pool.m_uses);
--- a/packages/policy/src/server_eligibility.cc
+++ b/packages/policy/src/server_eligibility.cc
@@ -35,7 +35,7 @@
          reason == IneligibleReason::kCold || reason == IneligibleReason::kSuspect;
 }
 
-bool IsInHomeRegion(const HomeRegions& homes, std::string_view region) noexcept {
+bool AllowsRegion(const HomeRegions& homes, std::string_view region) noexcept {
   if (!homes.m_restricted)
     return true;
   return std::any_of(homes.m_regions.begin(), homes.m_regions.end(),
@@ -49,7 +49,7 @@
     return IneligibleReason::kLeaving;
   if (server.m_evacuated)
     return IneligibleReason::kEvacuated;
-  if (!IsInHomeRegion(homes, server.m_region))
+  if (!AllowsRegion(homes, server.m_region))
     return IneligibleReason::kOutsideHome;
   if (server.m_kept_by_rollout)
     return IneligibleReason::kRollout;
--- a/packages/policy/src/slot_broker.cc
+++ b/packages/policy/src/slot_broker.cc
@@ -218,7 +218,7 @@
                 Instant now,
                 std::vector<SlotResponse>& out) {
   if (batch.m_resync)
-    Resync(broker, instance, batch.m_instances, now);
+    ForgetInstance(broker, instance, batch.m_instances, now);
   for (const LimitReport& report : batch.m_limits)
     ApplyLimitReport(broker, report, now);
   for (const ServerNotice& notice : batch.m_notices)
@@ -391,7 +391,7 @@
   UpdateOutageServerCounts(broker);
 }
 
-void Resync(SlotBroker& broker, const std::string& instance, int instances, Instant now) {
+void ForgetInstance(SlotBroker& broker, const std::string& instance, int instances, Instant now) {
   std::vector<SlotResponse> none;
   broker.m_instances = CountInstances(broker.m_instances, instances, broker.m_may_serve, now);
   const auto found = broker.m_instance_slots.find(instance);
@@ -422,7 +422,7 @@
                     const std::string& instance,
                     Instant now,
                     std::vector<SlotResponse>& out) {
-  Resync(broker, instance, 0, now);
+  ForgetInstance(broker, instance, 0, now);
   broker.m_instance_slots.erase(instance);
   for (auto& [name, pool] : broker.m_pools)
     ServePoolQueue(broker, pool, now, out);
--- a/packages/policy/src/slot_wait.cc
+++ b/packages/policy/src/slot_wait.cc
@@ -12,7 +12,9 @@
 constexpr double kInTimeShare = 0.85;
 constexpr int kForecastSlack =
     2;  // Slots come free in clusters, so a wait may take twice its forecast.
-constexpr Duration kMinWait{40'000};  // Some slots come free in this time even at a low rate.
+// A queued request may wait at least this long if its longest useful wait allows: some slots come
+// free in this time even at a low rate.
+constexpr Duration kMinWait{40'000};
 
 int CountTakenSlots(const SlotPool& pool) {
   int taken = 0;
@@ -22,8 +24,11 @@
 }
 
 /// Forecasts the time until a slot comes free for a request behind `ahead` others. A request of an
-/// underserved group waits for no more urgent ones.
-std::optional<Duration> ForecastOf(const SlotPool& pool, const SlotQueueOrder& order, int ahead) {
+/// underserved group waits for no more urgent ones. Returns nullopt while too few slots have come
+/// free for a forecast.
+std::optional<Duration> ForecastFreeSlot(const SlotPool& pool,
+                                         const SlotQueueOrder& order,
+                                         int ahead) {
   const Tier route_tier = order.m_underserved ? 0 : order.m_route_tier;
   const std::optional<Duration> free =
       ForecastWait(pool.m_turnover, route_tier, ahead, CountTakenSlots(pool));
@@ -50,13 +55,14 @@
   return ShortestBackOff(pool.m_servers.size(), reason_of, left_of);
 }
 
-/// Forecasts the time until a request without a slot gets one.
-std::optional<Duration> ForecastFor(const SlotBroker& broker,
-                                    const SlotPool& pool,
-                                    const QueuedSlotRequest& waiting,
-                                    int ahead,
-                                    Instant now) {
-  const std::optional<Duration> free = ForecastOf(pool, waiting.m_order, ahead);
+/// Forecasts the time until a request without a slot gets one, back-offs of the servers included.
+/// Returns nullopt while too little is known for a forecast.
+std::optional<Duration> ForecastWaitForSlot(const SlotBroker& broker,
+                                            const SlotPool& pool,
+                                            const QueuedSlotRequest& waiting,
+                                            int ahead,
+                                            Instant now) {
+  const std::optional<Duration> free = ForecastFreeSlot(pool, waiting.m_order, ahead);
   const std::optional<Duration> back_off = AllBackOff(broker, pool, waiting, now);
   // Slots that come free before the back-off ends are of no use to the request.
   return back_off ? std::max(free.value_or(Duration(0)), *back_off) : free;
@@ -89,7 +95,7 @@
 bool NoServerMayServe(const SlotPool& pool, const HomeRegions& homes) noexcept {
   bool present = false;
   for (const BackendServer& server : pool.m_servers) {
-    if (server.m_leaving || !IsInHomeRegion(homes, server.m_region))
+    if (server.m_leaving || !AllowsRegion(homes, server.m_region))
       continue;
     if (!server.m_evacuated)
       return false;
@@ -120,7 +126,7 @@
     SlotResponse rejection =
         MakeRejection(waiting.m_instance, waiting.m_request.m_ref, SlotVerdict::kNoRoom, 0);
     rejection.m_estimated_wait =
-        ForecastFor(broker, pool, waiting, ahead, now).value_or(Duration(0));
+        ForecastWaitForSlot(broker, pool, waiting, ahead, now).value_or(Duration(0));
     it = RejectQueued(broker, pool, it, std::move(rejection), now, out);
   }
 }
@@ -170,7 +176,7 @@
   const SlotRef ref = waiting.m_request.m_ref;
   const SlotQueueOrder order = waiting.m_order;
   const std::optional<Duration> forecast =
-      ForecastFor(broker, pool, waiting, CountAhead(pool, order), now);
+      ForecastWaitForSlot(broker, pool, waiting, CountAhead(pool, order), now);
   const Duration max_wait = LongestUsefulWait(pool, waiting, now);
   if (forecast && *forecast > max_wait) {
     RefundRequest(broker, waiting.m_request);
--- a/packages/polling/include/poppyway/polling/impl/hosted_state_poller.h
+++ b/packages/polling/include/poppyway/polling/impl/hosted_state_poller.h
@@ -33,7 +33,8 @@
   std::function<void(std::shared_ptr<const wire::Document>)> m_on_document;
 };
 
-/// \brief Polls the members on behalf of one instance.
+/// \brief Polls the members of a hosted deployment (`poppywayd --hosted`) for their state on behalf
+/// of one instance.
 ///
 /// One long poll covers servers, evacuations and the leader's name, another the operator's
 /// document, so that neither waits for the other. A document arrives as document changes; a large
@@ -79,7 +80,8 @@
                    std::uint64_t number,
                    std::size_t member,
                    const Result<wire::Body>& reply);
-  void OnServers(const wire::ConfigDelta& delta);
+  /// Passes the reply of a poll for servers to `m_on_servers` if its servers are newer.
+  void OnServersReply(const wire::ConfigDelta& delta);
   void OnDocumentChanges(const wire::ConfigDelta& delta, std::size_t member);
   /// Applies a document change with all its edits; false if it doesn't apply to the document held.
   bool PatchHeldDocument(const wire::DocumentChange& change);
--- a/packages/polling/src/hosted_state_poller.cc
+++ b/packages/polling/src/hosted_state_poller.cc
@@ -85,12 +85,12 @@
   // A late reply of an earlier request is used too.
   m_callbacks.m_on_leader(reply->delta);
   if (poll.m_kind == wire::NewsKind::SERVERS)
-    OnServers(reply->delta);
+    OnServersReply(reply->delta);
   else
     OnDocumentChanges(reply->delta, member);
 }
 
-void HostedStatePoller::OnServers(const wire::ConfigDelta& delta) {
+void HostedStatePoller::OnServersReply(const wire::ConfigDelta& delta) {
   if (delta.servers_index <= m_servers_index)
     return;
   m_servers_index = delta.servers_index;
--- a/tests/outage_detector_test.cc
+++ b/tests/outage_detector_test.cc
@@ -268,7 +268,7 @@
   }
   SetServers(load.m_broker, servers);
   for (int i = 0; i < 80; ++i)
-    Resync(load.m_broker, "i" + std::to_string(i), 80, kStart - 2 * kSecond);
+    ForgetInstance(load.m_broker, "i" + std::to_string(i), 80, kStart - 2 * kSecond);
   return load;
 }
 
--- a/tests/pool_simulation.h
+++ b/tests/pool_simulation.h
@@ -118,7 +118,7 @@
       servers.push_back({"s" + std::to_string(i), "engines", DataCentre(i), m_day.m_slots, false});
     SetServers(m_broker, servers);
     for (int i = 0; i < 4; ++i)
-      Resync(m_broker, DataCentre(i), 4, m_now);
+      ForgetInstance(m_broker, DataCentre(i), 4, m_now);
     m_end = m_now + m_day.m_span;
     for (const SimulatedKind& kind : m_day.m_kinds)
       ScheduleArrivals(kind);
--- a/tests/round_trip_table_test.cc
+++ b/tests/round_trip_table_test.cc
@@ -167,7 +167,7 @@
   for (BackendServer& server : servers)
     server.m_region = RegionOf(regions, server.m_data_centre);
   SetServers(broker, servers);
-  Resync(broker, "a", 1, kStart);
+  ForgetInstance(broker, "a", 1, kStart);
   return broker;
 }
 
--- a/tests/slot_broker_fixture.h
+++ b/tests/slot_broker_fixture.h
@@ -31,7 +31,7 @@
   SlotBroker broker = MakeSlotBroker(1, 7, Duration(4'500'000), began);
   SetServers(broker, servers);
   for (const std::string& instance : holders)
-    Resync(broker, instance, static_cast<int>(holders.size()), kStart);
+    ForgetInstance(broker, instance, static_cast<int>(holders.size()), kStart);
   return broker;
 }
 
--- a/tests/slot_broker_test.cc
+++ b/tests/slot_broker_test.cc
@@ -163,13 +163,13 @@
 TEST_CASE("a new broker gives out only the part of places whose holders have told") {
   SlotBroker broker = MakeSlotBroker(2, 7, Duration(4'500'000), kStart);
   SetServers(broker, {Server("s0", 8)});
-  Resync(broker, "a", 4, kStart);
+  ForgetInstance(broker, "a", 4, kStart);
   int placed = 0;
   for (SlotRef ref = 1; ref <= 8; ++ref)
     placed += AskFor(broker, "a", WantedSlot(ref))[0].m_verdict == SlotVerdict::kPlaced ? 1 : 0;
   CHECK(placed == 2);
   for (const std::string instance : {"b", "c", "d"})
-    Resync(broker, instance, 4, kStart);
+    ForgetInstance(broker, instance, 4, kStart);
   std::vector<SlotResponse> out;
   TickBroker(broker, kStart + Duration(20'000), out);
   CHECK(out.size() == 6);
@@ -179,7 +179,7 @@
   SlotBroker broker = MakeSlotBroker(2, 7, Duration(4'500'000), kStart);
   SetServers(broker, {Server("s0", 8)});
   for (const std::string instance : {"a", "b", "c", "d"})
-    Resync(broker, instance, 4, kStart);
+    ForgetInstance(broker, instance, 4, kStart);
   CHECK(ReachableShare(broker) == 1);
   std::vector<SlotResponse> out;
   broker.m_instance_slots.at("a").m_last_heard = kStart + 2 * kSecond;
--- a/tests/slot_restarts_test.cc
+++ b/tests/slot_restarts_test.cc
@@ -182,7 +182,7 @@
   SlotBroker broker = MakeSlotBroker(1, 7, Duration(4'500'000), kStart);
   SetServers(broker, {server, other});
   SetRollouts(broker, {{"engines", {1, "v2", false, 0, 1'000}}}, {});
-  Resync(broker, "a", 1, kStart);
+  ForgetInstance(broker, "a", 1, kStart);
   HeldSlot held;
   held.m_ref = 1;
   held.m_server = "s0";
--- a/tests/slot_turnover_test.cc
+++ b/tests/slot_turnover_test.cc
@@ -59,7 +59,7 @@
   // 200 short requests arrive at once for ten slots that each come free after 100 ms.
   SlotBroker broker = MakeSlotBroker(1, 7, Duration(4'500'000), kStart);
   SetServers(broker, {{"s0", "pool", "east", 10, false}});
-  Resync(broker, "a", 1, kStart);
+  ForgetInstance(broker, "a", 1, kStart);
   std::vector<SlotResponse> out;
   SlotRef next = 1;
   const auto request_slot = [&](Instant now) {
--- a/tests/slow_start_test.cc
+++ b/tests/slow_start_test.cc
@@ -77,7 +77,7 @@
                 Instant began = kStart - kLongAgo,
                 bool limited = true)
       : m_broker(MakeSlotBroker(1, 7, Duration(4'500'000), began)) {
-    Resync(m_broker, "a", 1, began);
+    ForgetInstance(m_broker, "a", 1, began);
     Take(servers, limited, std::max(began, kStart));
   }
 
--- a/tests/withheld_limit_test.cc
+++ b/tests/withheld_limit_test.cc
@@ -49,7 +49,7 @@
     server.m_slots = 64;
     SetServers(m_broker, {server});
     for (const std::string instance : {"a", "b", "c", "d"})
-      Resync(m_broker, instance, 4, kStart);
+      ForgetInstance(m_broker, instance, 4, kStart);
   }
   /// `connected` of the four instances send requests; the others are disconnected.
   void Play(Duration from, Duration until, int connected) {
@@ -61,7 +61,7 @@
     }
   }
   void Reconnect(double spent_without_broker, Duration at) {
-    Resync(m_broker, "d", 4, kStart + at);
+    ForgetInstance(m_broker, "d", 4, kStart + at);
     LimitReport report;
     report.m_workspace = "north";
     report.m_limit = {kRate, kRate};
