--- a/apps/poppywayd/slot_convert.cc
+++ b/apps/poppywayd/slot_convert.cc
@@ -71,8 +71,8 @@
   message.reserve = slot_request.m_quota.m_reserve;
   message.limit_rate = slot_request.m_limit.m_rate_per_s;
   message.limit_burst = slot_request.m_limit.m_burst;
-  message.bound = slot_request.m_home_regions.m_restricted;
-  message.regions = slot_request.m_home_regions.m_regions;
+  message.bound = slot_request.m_allowed_regions.m_restricted;
+  message.regions = slot_request.m_allowed_regions.m_regions;
   return message;
 }
 
@@ -97,7 +97,7 @@
   slot_request.m_tried = message.tried;
   slot_request.m_quota = {message.cost, message.reserve};
   slot_request.m_limit = {message.limit_rate, message.limit_burst};
-  slot_request.m_home_regions = {message.bound, message.regions};
+  slot_request.m_allowed_regions = {message.bound, message.regions};
   return slot_request;
 }
 
--- a/packages/forward/include/poppyway/forward/impl/forwarding.h
+++ b/packages/forward/include/poppyway/forward/impl/forwarding.h
@@ -77,7 +77,7 @@
   int m_attempts = 0;                ///< Number of calls that sent a byte.
   QuotaRequest m_quota;              ///< Quota that one run charges to the workspace.
   QuotaLimit m_limit;                ///< The workspace's limit with tolerance applied.
-  HomeRegions m_home_regions;  ///< Allowed regions by the document at arrival and the current one.
+  HomeRegions m_allowed_regions;     ///< Allowed by the document at arrival and the current one.
   bool m_charged_without_broker = false;  ///< Charged to this instance's share of the limit.
   int m_possible_runs = 0;                ///< Number of calls that may have run the request.
 
--- a/packages/forward/include/poppyway/forward/impl/route_table.h
+++ b/packages/forward/include/poppyway/forward/impl/route_table.h
@@ -39,11 +39,11 @@
   bool m_resumable = false;  ///< A broken stream may be resumed at another server.
   bool m_anonymous = false;  ///< Requests need no API key.
   Tier m_tier = 0;
-  int m_max_attempts = 1;       ///< Maximum number of servers that a request may be sent to.
-  Duration m_timeout{};         ///< Maximum time from arrival to the final response.
-  Duration m_latency_target{};  ///< Target for the first event, or for the whole response.
-  Duration m_gap_target{};      ///< Longest gap between events that counts as in time.
-  HomeRegions m_home_regions;   ///< Regions where its requests may be served.
+  int m_max_attempts = 1;         ///< Maximum number of servers that a request may be sent to.
+  Duration m_timeout{};           ///< Maximum time from arrival to the final response.
+  Duration m_latency_target{};    ///< Target for the first event, or for the whole response.
+  Duration m_gap_target{};        ///< Longest gap between events that counts as in time.
+  HomeRegions m_allowed_regions;  ///< Regions where its requests may be served.
 
   friend bool operator==(const Route&, const Route&) = default;
 };
@@ -65,9 +65,9 @@
   std::vector<std::string> m_keys;
   std::optional<Tier> m_tier;  ///< Overrides the tier of the route.
   QuotaLimit m_limit;
-  bool m_counts_tokens = false;  ///< The limit counts tokens instead of requests.
-  double m_plain_cost = 1;       ///< Cost of a request that states no token counts.
-  HomeRegions m_home_regions;    ///< Regions where its requests may be served.
+  bool m_counts_tokens = false;   ///< The limit counts tokens instead of requests.
+  double m_plain_cost = 1;        ///< Cost of a request that states no token counts.
+  HomeRegions m_allowed_regions;  ///< Regions where its requests may be served.
 
   friend bool operator==(const Workspace&, const Workspace&) = default;
 };
--- a/packages/forward/src/broker_link.cc
+++ b/packages/forward/src/broker_link.cc
@@ -39,7 +39,7 @@
   if (forwarding.m_pool->m_engines)
     slot_request.m_prompt_segments = forwarding.m_request.m_prompt_segments;
   slot_request.m_tried = forwarding.m_tried;
-  slot_request.m_home_regions = forwarding.m_home_regions;
+  slot_request.m_allowed_regions = forwarding.m_allowed_regions;
   if (forwarding.m_workspace != nullptr)
     slot_request.m_workspace = forwarding.m_workspace->m_name;
   if (forwarding.m_quota.m_cost <= 0)
@@ -132,8 +132,8 @@
       return;
     case SlotVerdict::kNoServer:
       Refuse(state, forwarding, ResultCode::kNoBackend,
-             forwarding.m_home_regions.m_restricted ? "the pool has no server in a home region"
-                                                    : "the pool has no server");
+             forwarding.m_allowed_regions.m_restricted ? "the pool has no server in a home region"
+                                                       : "the pool has no server");
       return;
     default:
       Refuse(state, forwarding, ResultCode::kOverload, "no server had room in time");
--- a/packages/forward/src/eligibility.cc
+++ b/packages/forward/src/eligibility.cc
@@ -37,7 +37,7 @@
                        !MaySendWithoutBroker(backend.m_slow_start,
                                              SlowStartLimitOf(state, backend.m_record.pool), now);
   inputs.m_suspect = IsSuspectLocally(state, backend, now);
-  return CheckEligibility(inputs, forwarding.m_home_regions,
+  return CheckEligibility(inputs, forwarding.m_allowed_regions,
                           WasTried(forwarding, backend.m_record.id));
 }
 
@@ -67,7 +67,7 @@
                                         const Forwarding& forwarding,
                                         const Backend& backend,
                                         Instant now) {
-  return CheckEligibility(BaseInputs(state, backend, now), forwarding.m_home_regions, false);
+  return CheckEligibility(BaseInputs(state, backend, now), forwarding.m_allowed_regions, false);
 }
 
 bool IsSuspectLocally(const ForwarderState& state, const Backend& backend, Instant now) {
--- a/packages/forward/src/evacuation.cc
+++ b/packages/forward/src/evacuation.cc
@@ -67,7 +67,7 @@
     const Backend& backend = state.m_backends.at(id);
     const std::string_view region =
         RegionOf(state.m_settings.m_regions, backend.m_record.data_centre);
-    if (backend.m_replaced || !AllowsRegion(forwarding.m_home_regions, region))
+    if (backend.m_replaced || !AllowsRegion(forwarding.m_allowed_regions, region))
       continue;
     if (!IsEvacuated(state, backend))
       return false;
--- a/packages/forward/src/homes.cc
+++ b/packages/forward/src/homes.cc
@@ -10,8 +10,8 @@
 
 HomeRegions CommonHomesOf(const Route* route, const Workspace* workspace) {
   const HomeRegions unbound;
-  return CommonHomes(route == nullptr ? unbound : route->m_home_regions,
-                     workspace == nullptr ? unbound : workspace->m_home_regions);
+  return CommonHomes(route == nullptr ? unbound : route->m_allowed_regions,
+                     workspace == nullptr ? unbound : workspace->m_allowed_regions);
 }
 
 const Workspace* FindByName(const RouteTable& table, const std::string& name) {
@@ -45,7 +45,7 @@
   POPPYWAY_LOG(info, "no_home")
       .Field("request", forwarding.m_request.m_id)
       .Field("route", forwarding.m_route->m_name)
-      .Field("route_homes", RegionsText(forwarding.m_route->m_home_regions))
+      .Field("route_homes", RegionsText(forwarding.m_route->m_allowed_regions))
       .Field("workspace", forwarding.m_workspace == nullptr ? "-" : forwarding.m_workspace->m_name)
       .Field("version", state.m_table->m_version);
   Refuse(state, forwarding,
@@ -56,7 +56,7 @@
 /// Updates a queued request after its home regions changed. The broker keeps the regions of the
 /// slot request, so that is cancelled and sent again.
 void RequeueWithNewHomes(ForwarderState& state, Forwarding& forwarding) {
-  if (HasNoRegion(forwarding.m_home_regions)) {
+  if (HasNoRegion(forwarding.m_allowed_regions)) {
     RefuseWithoutHome(state, forwarding);
     return;
   }
@@ -70,8 +70,8 @@
 }  // namespace
 
 Step SetHomeRegions(ForwarderState& state, Forwarding& forwarding) {
-  forwarding.m_home_regions = CommonHomesOf(forwarding.m_route, forwarding.m_workspace);
-  if (!HasNoRegion(forwarding.m_home_regions))
+  forwarding.m_allowed_regions = CommonHomesOf(forwarding.m_route, forwarding.m_workspace);
+  if (!HasNoRegion(forwarding.m_allowed_regions))
     return Step::kContinue;
   RefuseWithoutHome(state, forwarding);
   return Step::kEnded;
@@ -92,9 +92,9 @@
     if (!open)
       continue;
     HomeRegions homes = CurrentHomes(state, *forwarding);
-    if (homes == forwarding->m_home_regions)
+    if (homes == forwarding->m_allowed_regions)
       continue;
-    forwarding->m_home_regions = std::move(homes);
+    forwarding->m_allowed_regions = std::move(homes);
     changed.push_back(ref);
   }
   if (changed.empty())
@@ -112,7 +112,7 @@
 }
 
 bool NoServerInHomeRegion(const ForwarderState& state, const Forwarding& forwarding) {
-  if (!forwarding.m_home_regions.m_restricted)
+  if (!forwarding.m_allowed_regions.m_restricted)
     return false;
   const auto pool = state.m_pools.find(forwarding.m_pool->m_name);
   if (pool == state.m_pools.end() || pool->second.m_servers.empty())
@@ -120,7 +120,7 @@
   const std::vector<std::string>& servers = pool->second.m_servers;
   return std::none_of(servers.begin(), servers.end(), [&](const std::string& id) {
     const std::string& data_centre = state.m_backends.at(id).m_record.data_centre;
-    return AllowsRegion(forwarding.m_home_regions,
+    return AllowsRegion(forwarding.m_allowed_regions,
                         RegionOf(state.m_settings.m_regions, data_centre));
   });
 }
--- a/packages/policy/include/poppyway/policy/impl/slot_broker.h
+++ b/packages/policy/include/poppyway/policy/impl/slot_broker.h
@@ -77,7 +77,7 @@
   std::vector<std::string> m_tried;
   QuotaRequest m_quota;
   QuotaLimit m_limit;
-  HomeRegions m_home_regions;  ///< Regions where the request may be served.
+  HomeRegions m_allowed_regions;  ///< Regions where the request may be served.
 
   friend bool operator==(const SlotRequest&, const SlotRequest&) = default;
 };
--- a/packages/policy/src/slot_broker.cc
+++ b/packages/policy/src/slot_broker.cc
@@ -260,7 +260,7 @@
   } else {
     slot_request.m_workspace.clear();
   }
-  if (pool.m_servers.empty() || NoServerMayServe(pool, slot_request.m_home_regions)) {
+  if (pool.m_servers.empty() || NoServerMayServe(pool, slot_request.m_allowed_regions)) {
     RefundRequest(broker, slot_request);
     out.push_back(MakeRejection(instance, slot_request.m_ref, SlotVerdict::kNoServer, 0));
     return;
--- a/packages/policy/src/slot_serve.cc
+++ b/packages/policy/src/slot_serve.cc
@@ -195,7 +195,7 @@
   inputs.m_cold_full = ColdFull(pool.m_slow_starts[i], pool.m_slow_start_limit, now);
   inputs.m_suspect = IsSuspect(outages, pool, i, now);
   inputs.m_region = server.m_region;
-  return CheckEligibility(inputs, slot_request.m_home_regions,
+  return CheckEligibility(inputs, slot_request.m_allowed_regions,
                           !slot_request.m_tried.empty() && Tried(slot_request, server.m_id));
 }
 
--- a/packages/policy/src/slot_wait.cc
+++ b/packages/policy/src/slot_wait.cc
@@ -138,7 +138,7 @@
   const bool none = NoServerMayServe(pool, {});
   for (auto it = pool.m_waiting.begin(); it != pool.m_waiting.end();) {
     const QueuedSlotRequest& waiting = it->second;
-    const HomeRegions& homes = waiting.m_request.m_home_regions;
+    const HomeRegions& homes = waiting.m_request.m_allowed_regions;
     if (!none && !(homes.m_restricted && NoServerMayServe(pool, homes))) {
       ++it;
       continue;
--- a/tests/evacuation_test.cc
+++ b/tests/evacuation_test.cc
@@ -223,7 +223,7 @@
 TEST_CASE("what may be served only where all is evacuated is refused at once, other work goes on") {
   SlotBroker broker = Broker({Server("e", "east", true), Server("w", "west", false)});
   SlotRequest bound = WantedSlot(1);
-  bound.m_home_regions = {true, {"east"}};
+  bound.m_allowed_regions = {true, {"east"}};
   CHECK(AskFor(broker, bound).m_verdict == SlotVerdict::kNoServer);
   CHECK(AskFor(broker, WantedSlot(2)).m_server == "w");
 }
@@ -234,7 +234,7 @@
   while (AskFor(broker, WantedSlot(ref)).m_verdict == SlotVerdict::kPlaced)
     ++ref;
   SlotRequest bound = WantedSlot(ref + 1);
-  bound.m_home_regions = {true, {"east"}};
+  bound.m_allowed_regions = {true, {"east"}};
   REQUIRE(AskFor(broker, bound).m_verdict == SlotVerdict::kQueued);
   SetServers(broker, {Server("e", "east", true), Server("w", "west", false)});
   std::vector<SlotResponse> out;
--- a/tests/homes_test.cc
+++ b/tests/homes_test.cc
@@ -38,15 +38,15 @@
   const Result<RouteTable> table =
       decode(DocumentWithHomes(1, R"(["east","west"])", R"(["west"])"));
   REQUIRE(table);
-  CHECK(table->m_routes[0].m_home_regions == HomeRegions{true, {"east", "west"}});
-  CHECK(table->m_workspaces[0].m_home_regions == HomeRegions{true, {"west"}});
+  CHECK(table->m_routes[0].m_allowed_regions == HomeRegions{true, {"east", "west"}});
+  CHECK(table->m_workspaces[0].m_allowed_regions == HomeRegions{true, {"west"}});
   for (const std::string none : {"null", "[]"}) {
     const Result<RouteTable> unbound = decode(DocumentWithHomes(1, none, none));
     REQUIRE(unbound);
-    CHECK(unbound->m_routes[0].m_home_regions == HomeRegions{});
-    CHECK(unbound->m_workspaces[0].m_home_regions == HomeRegions{});
+    CHECK(unbound->m_routes[0].m_allowed_regions == HomeRegions{});
+    CHECK(unbound->m_workspaces[0].m_allowed_regions == HomeRegions{});
   }
-  CHECK(decode(Document(1, "key"))->m_routes[0].m_home_regions == HomeRegions{});
+  CHECK(decode(Document(1, "key"))->m_routes[0].m_allowed_regions == HomeRegions{});
   for (const std::string bad : {"\"east\"", "[1]", "[\"\"]", "{}", "[null]"}) {
     const Result<RouteTable> refused = decode(DocumentWithHomes(1, bad));
     REQUIRE_FALSE(refused);
@@ -107,7 +107,7 @@
   BackgroundCall call(fixture, Request("/safe/", "j"));
   fixture.RunUntil([&] { return !broker.SlotRequests().empty(); });
   REQUIRE(broker.SlotRequests().size() == 1);
-  CHECK(broker.SlotRequests()[0].m_home_regions == HomeRegions{true, {"west"}});
+  CHECK(broker.SlotRequests()[0].m_allowed_regions == HomeRegions{true, {"west"}});
   SendSlotResponse(fixture, broker.SlotRequests()[0].m_ref, SlotVerdict::kNoServer);
   CHECK(call.AwaitResponse(fixture).body().starts_with("no_backend"));
   CHECK(east_server.requests().empty());
@@ -190,7 +190,7 @@
   fixture.Adopt(2, DocumentWithHomes(2, "null", R"(["west"])"));
   CHECK(broker.Withdrawn() == std::vector<SlotRef>{broker.SlotRequests()[0].m_ref});
   REQUIRE(broker.SlotRequests().size() == 2);
-  CHECK(broker.SlotRequests()[1].m_home_regions == HomeRegions{true, {"west"}});
+  CHECK(broker.SlotRequests()[1].m_allowed_regions == HomeRegions{true, {"west"}});
   // A slot for the cancelled request is returned unused.
   SendSlotResponse(fixture, broker.SlotRequests()[0].m_ref, SlotVerdict::kPlaced, "s0");
   REQUIRE(broker.Reports().size() == 1);
@@ -269,7 +269,7 @@
   fixture.Adopt(2, DocumentWithHomes(2, R"(["west"])"));
   fixture.RunUntil([&] { return broker.SlotRequests().size() == 2; });
   REQUIRE(broker.SlotRequests().size() == 2);
-  CHECK(broker.SlotRequests()[1].m_home_regions == HomeRegions{true, {"west"}});
+  CHECK(broker.SlotRequests()[1].m_allowed_regions == HomeRegions{true, {"west"}});
   SendSlotResponse(fixture, broker.SlotRequests()[1].m_ref, SlotVerdict::kPlaced, "s1");
   CHECK(call.AwaitResponse(fixture).status() == 200);
   CHECK(east_server.requests().empty());
@@ -290,7 +290,7 @@
 SlotRequest Bound(SlotRef ref, const std::string& region) {
   SlotRequest slot_request = WantedPlace(ref);
   slot_request.m_data_centre = "e1";
-  slot_request.m_home_regions = {true, {region}};
+  slot_request.m_allowed_regions = {true, {region}};
   return slot_request;
 }
 
@@ -324,7 +324,7 @@
   CHECK(AskFor(broker, slot_request).m_verdict == SlotVerdict::kPlaced);
   const double left = broker.m_limits.at("north").m_tokens;
   slot_request.m_ref = 2;
-  slot_request.m_home_regions = {true, {"west"}};
+  slot_request.m_allowed_regions = {true, {"west"}};
   CHECK(AskFor(broker, slot_request).m_verdict == SlotVerdict::kNoServer);
   CHECK(broker.m_limits.at("north").m_tokens == left);
   BackendServer leaving = ServerAt("s1", "w1");
