--- a/apps/poppyway/command.h
+++ b/apps/poppyway/command.h
@@ -15,11 +15,11 @@
 /// \brief Exit codes of `poppyway`; docs/OPERATIONS.md lists them.
 enum ExitCode : int {
   kExitOk = 0,
-  kExitFailed = 1,      ///< The request was rejected or its outcome is unknown.
+  kExitFailed = 1,      ///< The command failed, or the outcome of its request is unknown.
   kExitDiffers = 2,     ///< `diff` found differences.
   kExitNotInForce = 3,  ///< `apply --wait`: the change is accepted but not yet in force everywhere.
-  kExitUsage = 64,
-  kExitUnreachable = 69,
+  kExitUsage = 64,      ///< The command line is invalid.
+  kExitUnreachable = 69,  ///< The last instance that was tried didn't reply.
 };
 
 /// \brief Options that apply to every command.
--- a/apps/poppyway/load_plan.cc
+++ b/apps/poppyway/load_plan.cc
@@ -92,10 +92,10 @@
   return prompt;
 }
 
-void AddClass(const LoadPlan& plan,
-              std::size_t index,
-              std::mt19937_64& random,
-              std::vector<PlannedRequest>& requests) {
+void AddRequestsOfClass(const LoadPlan& plan,
+                        std::size_t index,
+                        std::mt19937_64& random,
+                        std::vector<PlannedRequest>& requests) {
   const LoadClass& load = plan.m_classes[index];
   const auto add = [&](double at_s) {
     PlannedRequest request;
@@ -151,7 +151,7 @@
   std::mt19937_64 random(seed);
   std::vector<PlannedRequest> requests;
   for (std::size_t i = 0; i < plan.m_classes.size(); ++i)
-    AddClass(plan, i, random, requests);
+    AddRequestsOfClass(plan, i, random, requests);
   if (requests.size() > kMaxRequests)
     requests.resize(kMaxRequests);
   std::sort(requests.begin(), requests.end(),
--- a/apps/poppywayd/broker_service.h
+++ b/apps/poppywayd/broker_service.h
@@ -20,7 +20,8 @@
  public:
   explicit BrokerService(const DaemonSettings& settings) : m_settings(settings) {}
 
-  /// Reconfigures every broker for a new catalogue.
+  /// Reconfigures every broker for a new catalogue: all declarations of one version (pools,
+  /// servers, events, workspaces), compiled.
   void OnCatalogue(std::shared_ptr<const Catalogue> catalogue);
   /// Removes the engines of the backend servers that the platform lists as leaving.
   void OnLeaving(const std::set<std::string>& servers);
--- a/apps/poppywayd/control_server.cc
+++ b/apps/poppywayd/control_server.cc
@@ -36,7 +36,7 @@
     SendResponse(pending.m_req, answer.m_status, "application/json", answer.m_body);
 }
 
-void LogCall(const platform::ControlRequest& call, int status, Instant started) {
+void LogRequest(const platform::ControlRequest& call, int status, Instant started) {
   using Kind = platform::ControlRequest::Kind;
   const Duration took = ReadClock() - started;
   if (call.m_kind == Kind::kPutDocument) {
@@ -128,7 +128,7 @@
   const std::shared_ptr<PendingRequest> pending = Track(req);
   const ReplyFn reply = [pending, call = *call, started](wire::Body outcome) {
     const platform::ControlResponse answer = platform::EncodeControlResponse(call, outcome);
-    LogCall(call, answer.m_status, started);
+    LogRequest(call, answer.m_status, started);
     SendAnswer(*pending, answer);
   };
   switch (call->m_kind) {
--- a/apps/poppywayd/control_task.h
+++ b/apps/poppywayd/control_task.h
@@ -52,9 +52,10 @@
   void PublishMetrics();
   /// Logs a stall if the time since the end of the last tick exceeds a limit.
   void LogStall(Instant now);
-  /// Returns the state of all queues of messages to peers.
+  /// Returns the combined state of all send queues to peers: the sum of their bytes, and since when
+  /// one of them has held data.
   [[nodiscard]] SendQueueStats CombinedQueueStats() const;
-  /// Logs the queues to peers if a message has waited in them for too long.
+  /// Logs the combined state of these queues if one of them has held data for too long.
   void LogQueueDelay() const;
 
   EventLoop& m_loop;
--- a/apps/poppywayd/hosted_daemon.cc
+++ b/apps/poppywayd/hosted_daemon.cc
@@ -186,7 +186,7 @@
     if (g_reload.exchange(false))
       Reload();
     if (g_stop.load())
-      Stop();
+      DriveShutdown();
   }
 
   void Reload() {
@@ -200,7 +200,9 @@
     POPPYWAY_LOG(info, "reloaded").Field("seeds", seeds.size());
   }
 
-  void Stop() {
+  /// Begins the shutdown on the first call and ends the loop once it is complete. Called on every
+  /// check of the signals from the stop signal on.
+  void DriveShutdown() {
     const Instant now = ReadClock();
     if (m_shutdown_started == Instant{}) {
       m_shutdown_started = now;
--- a/apps/poppywayd/member_service.h
+++ b/apps/poppywayd/member_service.h
@@ -168,7 +168,9 @@
   void SendTo(const wire::LogMessage& message);
   /// Counts the bytes of the entries that a message carries.
   void CountEntries(const wire::LogMessage& message);
-  /// Returns the client of a member; null if the name is unknown and no endpoint.
+  /// Returns the client of a member. In hosted deployments a member's name is its peer endpoint,
+  /// and a client is added for an unknown name. Returns null if the name is this member's own or
+  /// isn't an endpoint; in other deployments, if it is unknown.
   [[nodiscard]] PeerClient* FindOrAddPeer(const std::string& name);
   /// Forwards a request to the leader and passes its response to `reply`, or an error if no leader
   /// is known or it doesn't respond.
@@ -239,7 +241,7 @@
   std::unique_ptr<LogWriter> m_writer;
   StateMachine m_machine;
   InstanceTable m_table;
-  SlotBrokerService m_slot_broker;
+  SlotBrokerService m_slot_broker;  ///< Hosted only; runs a broker while this member leads.
   RolloutController m_rollouts;
   SlowStartLimitReader m_slow_start_limit_reader;
   std::map<std::string, Instant> m_cold_until;  ///< End of each server's last reported cold time.
@@ -258,7 +260,7 @@
   Mailbox<int> m_flusher;
   std::map<std::int64_t, PendingCommand> m_pending;  ///< By log index.
   std::vector<PendingPoll> m_polls;
-  DocumentHistory m_document_history;
+  DocumentHistory m_document_history;                ///< Changes of the document, kept for readers.
   std::optional<DocumentOrder> m_proposed_document;  ///< The proposal in progress.
   std::optional<DocumentOrder> m_waiting_document;   ///< Proposed after `m_proposed_document`.
   Instant m_servers_sent{};  ///< When pending polls last got changes of servers.
--- a/apps/poppywayd/slot_broker_service.cc
+++ b/apps/poppywayd/slot_broker_service.cc
@@ -11,9 +11,9 @@
 
 // An instance without a heartbeat or batch for longer is gone; heartbeats come every half second.
 constexpr Duration kInstanceTimeout{3'000'000};
-// An instance whose connection was reset reconnects and reports its slots within a few
-// milliseconds. A crashed instance never does, and its connections to backend servers are closed
-// too.
+// An instance whose connection stays closed for this time is removed and its slots become free. One
+// whose connection was reset reconnects and reports its slots within a few milliseconds. A crashed
+// instance never does, and its connections to backend servers are closed too.
 constexpr Duration kReconnectTimeout{300'000};
 // This applies to an instance in a data centre that is suspected to be lost: two heartbeats and
 // some delay. The requests that it may still run are at servers of that data centre, which get no
--- a/packages/forward/include/poppyway/forward/impl/forwarder.h
+++ b/packages/forward/include/poppyway/forward/impl/forwarder.h
@@ -61,7 +61,8 @@
 struct PoolState {
   std::vector<std::string> m_servers;  ///< Ids of servers that may get requests, sorted.
   WaitingQueue m_waiting;
-  std::array<double, kTiers> m_mean_log_tokens{};  ///< Mean log of expected tokens, by route tier.
+  /// Mean logarithm (base 2) of the requests' expected output tokens, by route tier.
+  std::array<double, kTiers> m_mean_log_tokens{};
   RetryBudget m_retries{0};
   bool m_cold_declared = false;  ///< A server of the pool has declared a warm-up time.
 };
--- a/packages/forward/src/finish.cc
+++ b/packages/forward/src/finish.cc
@@ -27,7 +27,7 @@
     forwarding->m_call->Resume();
 }
 
-void Begin(ForwarderState& state, Forwarding& forwarding) {
+void BeginCallerResponse(ForwarderState& state, Forwarding& forwarding) {
   h2o_req_t* req = forwarding.m_caller.m_req;
   auto* generator = static_cast<Generator*>(h2o_mem_alloc_pool(&req->pool, sizeof(Generator)));
   *generator = {{&OnProceed, nullptr}, &state, forwarding.m_ref};
@@ -96,7 +96,7 @@
     req->res.content_length = *length;
   for (const Field& field : forwarding.m_response.m_relayed)
     AddField(req, field.m_name, field.m_value);
-  Begin(state, forwarding);
+  BeginCallerResponse(state, forwarding);
 }
 
 void Refuse(ForwarderState& state, Forwarding& forwarding, ResultCode code, std::string_view why) {
@@ -112,7 +112,7 @@
     AddField(req, "content-type", "text/plain; charset=utf-8");
     if (info.m_retry_after)
       AddField(req, "retry-after", SecondsText(RetryDelay(state, forwarding, code)));
-    Begin(state, forwarding);
+    BeginCallerResponse(state, forwarding);
     SendChunk(caller, body, true);
   } else if (caller.m_req != nullptr) {
     AbortResponse(caller);
--- a/packages/forward/src/queue.cc
+++ b/packages/forward/src/queue.cc
@@ -98,7 +98,8 @@
       const Forwarding* forwarding = Find(state, ref);
       if (forwarding == nullptr)
         continue;
-      // The broker rejects requests that are in its queue.
+      // The broker times out its own queue, so only the deadline applies here to a request with a
+      // pending slot request.
       const Instant until =
           forwarding->m_slot_request != 0 ? forwarding->m_deadline : forwarding->m_wait_until;
       const bool unservable = forwarding->m_slot_request == 0 &&
--- a/packages/forward/src/steps.h
+++ b/packages/forward/src/steps.h
@@ -174,7 +174,7 @@
 /// Applies a server record; an outdated one is ignored. `fresh`: the server was added while this
 /// instance was serving. The caller must call `IndexPools` afterwards.
 void UpdateServer(ForwarderState& state, const wire::ServerRecord& record, bool fresh, Instant now);
-/// Rebuilds the list of servers of each pool that may get requests.
+/// Rebuilds each pool's list of the servers that may get requests.
 void IndexPools(ForwarderState& state);
 /// Applies changed server records and serves all queues.
 void UpdateServers(ForwarderState& state, const std::vector<wire::ServerRecord>& records);
@@ -192,7 +192,8 @@
                        Forwarding& forwarding,
                        const Backend& backend,
                        Duration connect);
-/// Records a health signal of the active call's server, locally and for the broker's report.
+/// Records a health signal of the active call's server, locally and in the slot's report for the
+/// broker.
 void RecordHealth(ForwarderState& state, Forwarding& forwarding, HealthSignal signal);
 /// Marks the server `expected` as replaced, since the server `responding` answered at its address.
 void RecordReplacement(ForwarderState& state,
--- a/packages/log/include/poppyway/log/impl/log_store.h
+++ b/packages/log/include/poppyway/log/impl/log_store.h
@@ -76,9 +76,9 @@
   FileOps m_ops;
   int m_segment = -1;
   std::int64_t m_segment_number = 0;
-  std::int64_t m_segment_bytes = 0;  ///< The length of the complete records.
-  bool m_has_torn_tail = false;      ///< Part of a failed write may follow these records.
-  bool m_failed = false;
+  std::int64_t m_segment_bytes = 0;  ///< Length of the segment's complete records.
+  bool m_has_torn_tail = false;      ///< Part of a failed write may follow the complete records.
+  bool m_failed = false;             ///< After `kDiskFailed`; every further save fails.
 };
 
 }  // namespace poppyway
--- a/packages/log/src/log_node.cc
+++ b/packages/log/src/log_node.cc
@@ -309,9 +309,9 @@
 }
 
 void ResetElectionTimeout(LogNode& node, Instant now) {
-  std::uniform_int_distribution<std::int64_t> spread(node.m_timing.m_election_min.count(),
-                                                     node.m_timing.m_election_max.count());
-  node.m_election_due = now + Duration(spread(node.m_random));
+  std::uniform_int_distribution<std::int64_t> timeout_us(node.m_timing.m_election_min.count(),
+                                                         node.m_timing.m_election_max.count());
+  node.m_election_due = now + Duration(timeout_us(node.m_random));
 }
 
 void UseLatestMembership(LogNode& node) {
--- a/packages/policy/include/poppyway/policy/impl/broker.h
+++ b/packages/policy/include/poppyway/policy/impl/broker.h
@@ -96,6 +96,7 @@
   EngineBudget m_budget;
   bool m_withdrawn = false;  ///< No longer configured; kept for its outstanding credits.
   std::int64_t m_used_slots = 0;
+  /// Prompt tokens, less cached prefixes, of credits in use that have had no first token yet.
   std::int64_t m_used_prefill = 0;
   RateEstimate m_rate;
   int m_failures = 0;  ///< Consecutive failed connections.
--- a/packages/policy/include/poppyway/policy/impl/credit_book.h
+++ b/packages/policy/include/poppyway/policy/impl/credit_book.h
@@ -21,10 +21,9 @@
   int m_gateways = 1;                  ///< Gateways of the pool, as last reported by the broker.
 };
 
-/// \brief Takes an unspent pregranted credit that covers `prompt_tokens` on one of `engines`, on
-/// the engine with the fewest requests in flight.
-/// \return the credit, or nullopt if none fits or
-/// the lease has ended.
+/// \brief Takes an unspent pregranted credit that covers `prompt_tokens` on one of `engines`. If
+/// several engines have one, takes that of the engine with the fewest requests in flight.
+/// \return the credit, or nullopt if none fits or the lease has ended.
 [[nodiscard]] std::optional<Credit> TakePregranted(CreditBook& book,
                                                    const std::vector<std::string>& engines,
                                                    std::int64_t prompt_tokens,
--- a/packages/policy/include/poppyway/policy/impl/rollout_trial.h
+++ b/packages/policy/include/poppyway/policy/impl/rollout_trial.h
@@ -58,7 +58,7 @@
 /// \brief What the evidence shows about the target version.
 enum class TrialFinding : std::uint8_t {
   kTooLittle,  ///< Too few responses to decide.
-  kDoubtful,   ///< Neither good nor bad.
+  kDoubtful,   ///< More bad responses than chance explains, but not enough for `kFails`.
   kGood,
   /// It fails more often than the other versions, or was still in doubt at a review.
   kFails,
@@ -123,9 +123,9 @@
 
 /// \brief Returns the finding from the evidence so far.
 ///
-/// A version is doubtful if it has more bad responses, on one route or in all, than chance
-/// explains. That matters when work is to move, and at some reviews as moving work nears the bounds
-/// on exposure.
+/// A version that isn't found bad is doubtful if it has more bad responses, on one route or in all,
+/// than chance explains. That matters when work is to move, and at some reviews as moving work
+/// nears the bounds on exposure.
 ///
 /// Failures and responses far slower than is usual for their server are tested one by one, by
 /// route, with a cumulative sum (Page 1954) of the log-likelihood ratio: a share of bad responses
--- a/packages/policy/include/poppyway/policy/impl/slot_broker.h
+++ b/packages/policy/include/poppyway/policy/impl/slot_broker.h
@@ -398,8 +398,11 @@
 /// learns of slots. Call it periodically.
 void TickBroker(SlotBroker& broker, Instant now, std::vector<SlotResponse>& out);
 
-/// \brief Returns the share of the active instances that have reported their held slots; one when
-/// the time to report is over. A new broker assigns only that share of each server's slots.
+/// \brief Returns the share of the active instances that have reported their held slots to a new
+/// broker, which assigns only that share of each server's slots.
+///
+/// An instance reports its slots when it connects, so this is `ReachableShare`. Once the time to
+/// report is over, it is 1.0.
 [[nodiscard]] double ReportedShare(const SlotBroker& broker, Instant now) noexcept;
 
 /// \brief Returns the share of the active instances that are reachable.
--- a/packages/policy/src/broker_grant.cc
+++ b/packages/policy/src/broker_grant.cc
@@ -65,7 +65,7 @@
          engine.m_used_prefill + tokens <= engine.m_budget.m_prefill_tokens;
 }
 
-bool IsLong(const Broker& broker, const BrokerEngine& engine, std::int64_t tokens) {
+bool IsLongPrompt(const Broker& broker, const BrokerEngine& engine, std::int64_t tokens) {
   return static_cast<double>(tokens) >
          broker.m_settings.m_long_share * static_cast<double>(engine.m_budget.m_prefill_tokens);
 }
@@ -101,7 +101,7 @@
     const std::int64_t cached =
         broker.m_settings.m_use_affinity ? broker.m_prefixes.Known(e, request.m_prefixes) : 0;
     const std::int64_t tokens = std::max<std::int64_t>(1, request.m_prompt_tokens - cached);
-    if (IsLong(broker, engine, tokens) && !AllowsLongPrompts(e) && eligible.size() > 1)
+    if (IsLongPrompt(broker, engine, tokens) && !AllowsLongPrompts(e) && eligible.size() > 1)
       continue;
     const double occupancy =
         static_cast<double>(engine.m_used_slots) / static_cast<double>(engine.m_budget.m_slots);
--- a/packages/state/include/poppyway/state/impl/instance_table.h
+++ b/packages/state/include/poppyway/state/impl/instance_table.h
@@ -20,8 +20,8 @@
 
 /// \brief The heartbeats that the leader received. A new leader starts with an empty table.
 struct InstanceTable {
-  Duration m_lease{3'000'000};
-  Duration m_margin{500'000};  ///< Added to the lease before it expires here.
+  Duration m_lease{3'000'000};  ///< Duration of the lease that a heartbeat renews.
+  Duration m_margin{500'000};   ///< Added to the lease before it expires here.
   Instant m_leading_since{};
   std::map<std::string, InstanceRecord> m_live;  ///< By incarnation.
   std::set<std::string> m_ended_incarnations;    ///< To be reported to the ledger.
--- a/packages/wire/include/poppyway/wire/impl/peer_client.h
+++ b/packages/wire/include/poppyway/wire/impl/peer_client.h
@@ -57,7 +57,7 @@
   EventLoop& m_loop;
   std::string m_address;
   std::uint16_t m_port;
-  h2o_socket_t* m_connecting = nullptr;
+  h2o_socket_t* m_connecting = nullptr;  ///< Connection attempt in progress; null if there is none.
   Instant m_connect_expires{};
   std::shared_ptr<PeerConnection> m_connection;
   std::vector<wire::Envelope> m_unsent;  ///< Messages to send once connected.
